--- a/crates/cranberrygap-agreement/src/formation.rs
+++ b/crates/cranberrygap-agreement/src/formation.rs
@@ -53,7 +53,7 @@
     /// The group exists and this replica is one of its founders.
     Founder(Formed),
     /// The group exists and does not know this folder.
-    Stranger {
+    NonMember {
         /// The group.
         formed: Formed,
         /// Whether this instance was a founder with another folder.
@@ -78,7 +78,7 @@
     }
 
     /// Takes what another replica without a group says of itself.
-    pub fn hello(&mut self, hello: &Hello) {
+    pub fn receive_hello(&mut self, hello: &Hello) {
         let instance = hello.peer.instance.clone();
         if instance != self.own.peer.instance {
             self.heard.insert(instance, hello.id);
@@ -98,7 +98,7 @@
     /// lost theirs, while a third one still holds what was accepted. Since all
     /// must be heard, the third one tells them that the group exists.
     #[must_use]
-    pub fn found(&self, group: replica::Group) -> Outcome {
+    pub fn try_form(&self, group: replica::Group) -> Outcome {
         let first = self.voters.iter().map(|peer| &peer.instance).min();
         if first != Some(&self.own.peer.instance) || !self.missing().is_empty() {
             return Outcome::Waiting;
@@ -114,12 +114,12 @@
 
     /// Takes what a replica with a group says of it.
     #[must_use]
-    pub fn formed(&self, formed: &Formed) -> Outcome {
+    pub fn receive_formed(&self, formed: &Formed) -> Outcome {
         if formed.founders.is_voter(self.own.id) {
             return Outcome::Founder(formed.clone());
         }
         let instance = &self.own.peer.instance;
-        Outcome::Stranger {
+        Outcome::NonMember {
             formed: formed.clone(),
             lost_disk: formed.founders.find(instance, true).is_some(),
         }
--- a/crates/cranberrygap-agreement/src/lib.rs
+++ b/crates/cranberrygap-agreement/src/lib.rs
@@ -5,7 +5,6 @@
 //! changes one at a time, and snapshots in chunks. [`node::Node`] takes an
 //! input with the time and gives outputs; a driver writes, sends and applies.
 
-pub mod ballot;
 pub mod change;
 pub mod entry;
 pub mod formation;
@@ -21,9 +20,10 @@
 pub mod packet;
 pub mod position;
 pub mod progress;
+pub mod reconciler;
 pub mod replica;
 pub mod role;
 pub mod snapshot;
-pub mod steward;
 pub mod timing;
+pub mod vote;
 pub mod write;
--- a/crates/cranberrygap-agreement/src/limits.rs
+++ b/crates/cranberrygap-agreement/src/limits.rs
@@ -4,27 +4,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Largest proposal, in bytes.
-    pub proposal: usize,
+    pub proposal_bytes: usize,
     /// Entries in one message, in bytes; one entry always fits.
-    pub message: usize,
+    pub message_bytes: usize,
     /// Messages with entries on their way to one follower.
     pub window: usize,
     /// Proposals that are not committed yet, in bytes.
-    pub uncommitted: usize,
+    pub uncommitted_bytes: usize,
     /// Snapshot bytes in one message.
-    pub chunk: usize,
+    pub chunk_bytes: usize,
     /// Largest snapshot that is taken from a leader, in bytes.
-    pub snapshot: usize,
+    pub snapshot_bytes: usize,
     /// Entries kept in memory behind a snapshot, for followers that lag a little.
-    pub trailing: u64,
+    pub trailing_entries: u64,
     /// The same in bytes, so that large entries do not fill memory and disk.
     pub trailing_bytes: usize,
     /// Entries handed out for applying in one step, in bytes; one entry always fits.
-    pub apply: usize,
+    pub apply_bytes: usize,
     /// Entries that a learner may lack when it becomes a voter.
-    pub lag: u64,
+    pub learner_lag: u64,
     /// Most voters.
-    pub voters: usize,
+    pub max_voters: usize,
 }
 
 impl Default for Limits {
@@ -35,17 +35,17 @@
     // a small part of an election timeout.
     fn default() -> Self {
         Self {
-            proposal: 512 << 10,
-            message: 256 << 10,
+            proposal_bytes: 512 << 10,
+            message_bytes: 256 << 10,
             window: 16,
-            uncommitted: 16 << 20,
-            chunk: 256 << 10,
-            snapshot: 128 << 20,
-            trailing: 1_000,
+            uncommitted_bytes: 16 << 20,
+            chunk_bytes: 256 << 10,
+            snapshot_bytes: 128 << 20,
+            trailing_entries: 1_000,
             trailing_bytes: 2 << 20,
-            apply: 64 << 10,
-            lag: 64,
-            voters: 7,
+            apply_bytes: 64 << 10,
+            learner_lag: 64,
+            max_voters: 7,
         }
     }
 }
--- a/crates/cranberrygap-agreement/src/node.rs
+++ b/crates/cranberrygap-agreement/src/node.rs
@@ -18,8 +18,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    ballot, entry, hard, input, limits, log, message, output, position, replica, role, snapshot,
-    timing,
+    entry, hard, input, limits, log, message, output, position, replica, role, snapshot, timing,
+    vote,
 };
 
 /// Everything a node starts from: what is durable, and its settings.
@@ -228,14 +228,14 @@
             // second leader elected while the first one's lease runs. Voters
             // that heard from a leader within the shortest timeout don't listen.
             message::Body::Vote { forced, .. } if !forced && self.loyal(now, message) => {
-                let refusal = Some(ballot::Reason::Loyal);
-                self.tell_vote(ballot::Kind::Real, message.from, message.term, refusal);
+                let refusal = Some(vote::Reason::Loyal);
+                self.tell_vote(vote::Kind::Real, message.from, message.term, refusal);
                 return false;
             }
             // An office that is over; the sender learns the term from the refusal.
             message::Body::Vote { .. } if older => {
-                let refusal = Some(ballot::Reason::OldTerm(self.hard.term));
-                self.tell_vote(ballot::Kind::Real, message.from, message.term, refusal);
+                let refusal = Some(vote::Reason::OldTerm(self.hard.term));
+                self.tell_vote(vote::Kind::Real, message.from, message.term, refusal);
                 self.send(message.from, message::Body::Voted { granted: false });
                 return false;
             }
--- a/crates/cranberrygap-agreement/src/node/change.rs
+++ b/crates/cranberrygap-agreement/src/node/change.rs
@@ -48,7 +48,7 @@
                 removed.ok_or(output::Refusal::NoSuchMember)?;
             }
         }
-        let most = self.limits.voters;
+        let most = self.limits.max_voters;
         if !(1..=most).contains(&members.voters().count()) {
             return Err(output::Refusal::VoterCount { most });
         }
@@ -94,7 +94,7 @@
         let Some(progress) = self.progress_of(id) else {
             return Err(output::Refusal::NoSuchMember);
         };
-        let near = progress.matched.0 + self.limits.lag >= self.log.last().index.0;
+        let near = progress.matched.0 + self.limits.learner_lag >= self.log.last().index.0;
         let flows = matches!(progress.mode, progress::Mode::Replicate { .. });
         if near && flows && self.answers(now, id) {
             return Ok(());
@@ -109,7 +109,7 @@
         };
         let ids: Vec<replica::Id> = members.0.keys().copied().collect();
         self.append_own(entry::Payload::Members(members));
-        self.outputs.push(output::Output::Taken(position));
+        self.outputs.push(output::Output::Accepted(position));
         for id in &ids {
             if *id != self.id && self.progress_of(*id).is_none() {
                 self.meet(*id);
--- a/crates/cranberrygap-agreement/src/node/election.rs
+++ b/crates/cranberrygap-agreement/src/node/election.rs
@@ -5,7 +5,7 @@
 use cranberrygap_model::{duration, number};
 
 use super::Node;
-use crate::{ballot, entry, message, output, position, progress, replica, role};
+use crate::{entry, message, output, position, progress, replica, role, vote};
 
 impl Node {
     pub(super) fn become_follower(
@@ -56,10 +56,7 @@
         let granted = BTreeSet::from([self.id]);
         self.role = role::Role::PreCandidate { granted };
         let last = self.log.last();
-        self.tell(ballot::Ballot::Asked(
-            ballot::Kind::Pre,
-            self.hard.term.next(),
-        ));
+        self.tell(vote::Event::Asked(vote::Kind::Pre, self.hard.term.next()));
         for voter in self.other_voters() {
             self.send(voter, message::Body::PreVote { last });
         }
@@ -74,7 +71,7 @@
             own: Some(self.next_ticket),
         };
         let last = self.log.last();
-        self.tell(ballot::Ballot::Asked(ballot::Kind::Real, self.hard.term));
+        self.tell(vote::Event::Asked(vote::Kind::Real, self.hard.term));
         for voter in self.other_voters() {
             self.send_durable(voter, message::Body::Vote { last, forced });
         }
@@ -98,13 +95,13 @@
         let refusal = if granted {
             None
         } else if protected {
-            Some(ballot::Reason::Loyal)
+            Some(vote::Reason::Loyal)
         } else if request.term < self.hard.term {
-            Some(ballot::Reason::OldTerm(self.hard.term))
+            Some(vote::Reason::OldTerm(self.hard.term))
         } else {
             Some(self.behind(last))
         };
-        self.tell_vote(ballot::Kind::Pre, request.from, asked, refusal);
+        self.tell_vote(vote::Kind::Pre, request.from, asked, refusal);
         self.send(request.from, message::Body::PreVoted { granted, asked });
         // A learner was sent entries by a leader that died before any voter had
         // them. A candidate whose log says that it votes needs its vote, but
@@ -158,9 +155,9 @@
         } else if free {
             Some(self.behind(last))
         } else {
-            Some(ballot::Reason::Given(self.leader.or(self.hard.vote)))
+            Some(vote::Reason::Given(self.leader.or(self.hard.vote)))
         };
-        self.tell_vote(ballot::Kind::Real, from, self.hard.term, refusal);
+        self.tell_vote(vote::Kind::Real, from, self.hard.term, refusal);
         self.send_durable(from, message::Body::Voted { granted });
     }
 
@@ -168,24 +165,24 @@
     /// a term got no leader.
     pub(super) fn tell_vote(
         &mut self,
-        kind: ballot::Kind,
+        kind: vote::Kind,
         from: replica::Id,
         term: number::Term,
-        refusal: Option<ballot::Reason>,
+        refusal: Option<vote::Reason>,
     ) {
         self.tell(match refusal {
-            None => ballot::Ballot::Granted(kind, from, term),
-            Some(reason) => ballot::Ballot::Refused(kind, from, term, reason),
+            None => vote::Event::Granted(kind, from, term),
+            Some(reason) => vote::Event::Refused(kind, from, term, reason),
         });
     }
 
-    fn behind(&self, theirs: position::Position) -> ballot::Reason {
+    fn behind(&self, theirs: position::Position) -> vote::Reason {
         let own = self.log.last();
-        ballot::Reason::Behind { own, theirs }
+        vote::Reason::Behind { own, theirs }
     }
 
-    fn tell(&mut self, ballot: ballot::Ballot) {
-        self.outputs.push(output::Output::Ballot(ballot));
+    fn tell(&mut self, ballot: vote::Event) {
+        self.outputs.push(output::Output::VoteEvent(ballot));
     }
 
     pub(super) fn voted(&mut self, now: duration::Instant, from: replica::Id, given: bool) {
--- a/crates/cranberrygap-agreement/src/node/follower.rs
+++ b/crates/cranberrygap-agreement/src/node/follower.rs
@@ -115,7 +115,7 @@
             self.send_durable(from, message::Body::Appended { matched, sent });
             return;
         }
-        if part.total > self.limits.snapshot as u64 {
+        if part.total > self.limits.snapshot_bytes as u64 {
             return;
         }
         let held = self.collect(part);
@@ -195,7 +195,7 @@
         });
         self.snapshot = Some(Arc::clone(&snapshot));
         self.dirty.snapshot = Some(snapshot);
-        let keep = index.0.saturating_sub(self.limits.trailing);
+        let keep = index.0.saturating_sub(self.limits.trailing_entries);
         let keep = self.within_bytes(number::Index(keep), index);
         if keep > self.log.base().index {
             self.log.compact(keep);
--- a/crates/cranberrygap-agreement/src/node/leader.rs
+++ b/crates/cranberrygap-agreement/src/node/leader.rs
@@ -129,18 +129,18 @@
         for payload in payloads {
             self.append_own(entry::Payload::Data(payload));
         }
-        self.outputs.push(output::Output::Taken(first));
+        self.outputs.push(output::Output::Accepted(first));
         self.replicate_all(now);
     }
 
     fn admit(&self, payloads: &[Bytes]) -> Result<(), output::Refusal> {
         let leader = self.office()?;
-        let limit = self.limits.proposal;
+        let limit = self.limits.proposal_bytes;
         if payloads.iter().any(|payload| payload.len() > limit) {
             return Err(output::Refusal::TooLarge { limit });
         }
         let size: usize = payloads.iter().map(Bytes::len).sum();
-        if leader.uncommitted + size > self.limits.uncommitted {
+        if leader.uncommitted + size > self.limits.uncommitted_bytes {
             return Err(output::Refusal::Full);
         }
         Ok(())
--- a/crates/cranberrygap-agreement/src/node/sending.rs
+++ b/crates/cranberrygap-agreement/src/node/sending.rs
@@ -123,7 +123,7 @@
         let Some(previous) = self.log.position(before) else {
             return;
         };
-        let entries = self.bounded(first, self.log.last().index, self.limits.message);
+        let entries = self.bounded(first, self.log.last().index, self.limits.message_bytes);
         let last = number::Index(before.0 + entries.len() as u64);
         if let Some(progress) = self.progress_mut(to)
             && let (true, progress::Mode::Replicate { flying }) = (fly, &mut progress.mode)
@@ -155,7 +155,7 @@
     }
 
     fn send_chunk(&mut self, now: duration::Instant, to: replica::Id) {
-        let size = self.limits.chunk;
+        let size = self.limits.chunk_bytes;
         let Some(progress::Mode::Snapshot { snapshot, held, .. }) =
             self.progress_of(to).map(|progress| &progress.mode)
         else {
--- a/crates/cranberrygap-agreement/src/node/transfer.rs
+++ b/crates/cranberrygap-agreement/src/node/transfer.rs
@@ -29,7 +29,7 @@
             });
         }
         let last = self.log.last();
-        self.outputs.push(output::Output::Taken(last));
+        self.outputs.push(output::Output::Accepted(last));
         self.advance_transfer(now);
     }
 
--- a/crates/cranberrygap-agreement/src/node/writing.rs
+++ b/crates/cranberrygap-agreement/src/node/writing.rs
@@ -48,7 +48,7 @@
         if until <= self.applied {
             return;
         }
-        let entries = self.bounded(self.applied.next(), until, self.limits.apply);
+        let entries = self.bounded(self.applied.next(), until, self.limits.apply_bytes);
         self.applied = number::Index(self.applied.0 + entries.len() as u64);
         self.outputs.push(output::Output::Apply(entries));
     }
@@ -123,7 +123,7 @@
             snapshot: dirty.snapshot,
             reset: dirty.reset,
             entries,
-            then: dirty.then,
+            send_after: dirty.then,
         }));
     }
 }
--- a/crates/cranberrygap-agreement/src/output.rs
+++ b/crates/cranberrygap-agreement/src/output.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{ballot, entry, message, position, replica, snapshot, write};
+use crate::{entry, message, position, replica, snapshot, vote, write};
 
 /// Why a proposal or change was not taken.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -64,9 +64,9 @@
     Restore(Arc<snapshot::Snapshot>),
     /// The proposals or the change were taken; this is the first one's position.
     /// For a hand-over, the end of the log that the other voter must hold.
-    Taken(position::Position),
+    Accepted(position::Position),
     /// The proposals, the change or the transfer were refused.
     Refused(Refusal),
     /// A vote was asked for, given or refused; for the log of events only.
-    Ballot(ballot::Ballot),
+    VoteEvent(vote::Event),
 }
--- a/crates/cranberrygap-agreement/src/steward.rs
+++ b/crates/cranberrygap-agreement/src/reconciler.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Contact {
     /// Time since it last answered; time since the election if it never did.
-    pub silent: duration::Span,
+    pub silence: duration::Span,
     /// Whether it holds nearly the whole log.
-    pub current: bool,
+    pub caught_up: bool,
 }
 
 impl Contact {
@@ -30,13 +30,13 @@
     ) -> Self {
         let answered = progress.and_then(|found| found.acknowledged);
         let heard = answered.map_or(seen, |answered| answered.max(seen));
-        let current = progress.is_some_and(|found| {
+        let caught_up = progress.is_some_and(|found| {
             let flows = matches!(found.mode, progress::Mode::Replicate { .. });
             flows && found.matched.0 + lag >= last.0
         });
         Self {
-            silent: now.since(heard),
-            current,
+            silence: now.since(heard),
+            caught_up,
         }
     }
 }
@@ -47,12 +47,12 @@
     /// What it said.
     pub hello: formation::Hello,
     /// Time since it last said so.
-    pub silent: duration::Span,
+    pub silence: duration::Span,
 }
 
 /// When a silent replica is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct Policy {
     /// Voters that the group shall have.
     pub voters: usize,
     /// Silence after which a voter makes way for a learner that stands ready.
@@ -66,7 +66,7 @@
     pub newcomer: duration::Span,
 }
 
-impl Patience {
+impl Policy {
     /// For a group that bears the loss of so many folders at once.
     ///
     /// What is acknowledged is on a majority of the voters. With three voters and two
@@ -74,7 +74,7 @@
     /// the two that come back empty rightly do not vote as who they were. One more than
     /// twice the losses always leaves a majority.
     #[must_use]
-    pub fn bearing(losses: u32) -> Self {
+    pub fn tolerating(losses: u32) -> Self {
         let losses = usize::try_from(losses).unwrap_or(usize::MAX);
         Self {
             voters: losses.saturating_mul(2).saturating_add(1),
@@ -83,7 +83,7 @@
     }
 }
 
-impl Default for Patience {
+impl Default for Policy {
     fn default() -> Self {
         Self {
             voters: 3,
@@ -98,8 +98,8 @@
 ///
 /// `contact` tells of every member but `own`, which is the leader.
 #[must_use]
-pub fn next(
-    patience: &Patience,
+pub fn next_change(
+    patience: &Policy,
     own: replica::Id,
     members: &members::Members,
     contact: impl Fn(replica::Id) -> Contact,
@@ -107,7 +107,7 @@
 ) -> Option<change::Change> {
     let mut present = newcomers
         .iter()
-        .filter(|found| found.silent <= patience.newcomer);
+        .filter(|found| found.silence <= patience.newcomer);
     // A replica's id lives in its data folder. Another id under the same name and
     // address proves that the folder of the first is lost: it never answers again,
     // and counted on as a voter it would only make the quorum harder to reach.
@@ -135,7 +135,7 @@
 
 /// Lets a learner vote that is ready, or makes room for it.
 fn promote(
-    patience: &Patience,
+    patience: &Policy,
     own: replica::Id,
     members: &members::Members,
     contact: &impl Fn(replica::Id) -> Contact,
@@ -143,25 +143,25 @@
     let learners = members.0.iter().filter(|(_, member)| !member.voter);
     let mut ready = learners.filter(|(id, _)| {
         let contact = contact(**id);
-        contact.current && contact.silent < patience.replace
+        contact.caught_up && contact.silence < patience.replace
     });
     let (learner, _) = ready.next()?;
     if members.voters().count() < patience.voters {
         return Some(change::Change::Promote(*learner));
     }
     let others = members.voters().filter(|id| *id != own);
-    let silent = others.filter(|id| contact(*id).silent > patience.replace);
-    let longest = silent.max_by_key(|id| contact(*id).silent);
+    let silent = others.filter(|id| contact(*id).silence > patience.replace);
+    let longest = silent.max_by_key(|id| contact(*id).silence);
     longest.map(change::Change::Remove)
 }
 
 fn silent_learner(
-    patience: &Patience,
+    patience: &Policy,
     own: replica::Id,
     members: &members::Members,
     contact: &impl Fn(replica::Id) -> Contact,
 ) -> Option<replica::Id> {
     let learners = members.0.iter().filter(|(_, member)| !member.voter);
-    let mut silent = learners.filter(|(id, _)| contact(**id).silent > patience.drop_learner);
+    let mut silent = learners.filter(|(id, _)| contact(**id).silence > patience.drop_learner);
     silent.find(|(id, _)| **id != own).map(|(id, _)| *id)
 }
--- a/crates/cranberrygap-agreement/src/ballot.rs
+++ b/crates/cranberrygap-agreement/src/vote.rs
@@ -36,7 +36,7 @@
 
 /// One step of an election at one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ballot {
+pub enum Event {
     /// This replica asked all other voters.
     Asked(Kind, number::Term),
     /// This replica granted it.
@@ -70,7 +70,7 @@
     }
 }
 
-impl fmt::Display for Ballot {
+impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Asked(kind, term) => write!(f, "asks for a {kind} in term {term}"),
--- a/crates/cranberrygap-agreement/src/write.rs
+++ b/crates/cranberrygap-agreement/src/write.rs
@@ -19,7 +19,7 @@
     /// Entries; the first one replaces all entries from its index on.
     pub entries: Vec<entry::Entry>,
     /// Messages that may be sent once all this is durable.
-    pub then: Vec<message::Message>,
+    pub send_after: Vec<message::Message>,
 }
 
 impl Write {
--- a/crates/cranberrygap-agreement/tests/membership.rs
+++ b/crates/cranberrygap-agreement/tests/membership.rs
@@ -121,11 +121,11 @@
     };
     let peers = (1..=3).map(|number| hello(number).peer).collect();
     let mut formation = formation::Formation::new(hello(1), peers);
-    formation.hello(&hello(2));
+    formation.receive_hello(&hello(2));
 
-    let early = formation.found(support::GROUP);
-    formation.hello(&hello(3));
-    let complete = formation.found(support::GROUP);
+    let early = formation.try_form(support::GROUP);
+    formation.receive_hello(&hello(3));
+    let complete = formation.try_form(support::GROUP);
 
     assert_eq!(early, formation::Outcome::Waiting);
     let founders = support::voters(&[1, 2, 3]);
@@ -148,10 +148,10 @@
     };
     let formation = formation::Formation::new(own, Vec::new());
 
-    let outcome = formation.formed(&formed);
+    let outcome = formation.receive_formed(&formed);
 
     let lost_disk = true;
-    assert_eq!(outcome, formation::Outcome::Stranger { formed, lost_disk });
+    assert_eq!(outcome, formation::Outcome::NonMember { formed, lost_disk });
 }
 
 // Followers serve views. If they heard of a commit with the next heartbeat only,
--- a/crates/cranberrygap-agreement/tests/steward.rs
+++ b/crates/cranberrygap-agreement/tests/steward.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cranberrygap_agreement::{change, formation, member, members, replica, steward};
+use cranberrygap_agreement::{change, formation, member, members, reconciler, replica};
 use cranberrygap_model::{address, duration};
 
 const LEADER: replica::Id = replica::Id(1);
@@ -22,13 +22,13 @@
     members::Members(voters.chain(learners).collect())
 }
 
-fn newcomer(id: u64, at: u64) -> steward::Newcomer {
-    steward::Newcomer {
+fn newcomer(id: u64, at: u64) -> reconciler::Newcomer {
+    reconciler::Newcomer {
         hello: formation::Hello {
             id: replica::Id(id),
             peer: peer(at),
         },
-        silent: duration::Span::from_millis(100),
+        silence: duration::Span::from_millis(100),
     }
 }
 
@@ -37,18 +37,18 @@
 fn next(
     members: &members::Members,
     silent: &[(u64, u64)],
-    newcomers: &[steward::Newcomer],
+    newcomers: &[reconciler::Newcomer],
 ) -> Option<change::Change> {
     let silent: BTreeMap<u64, u64> = silent.iter().copied().collect();
     let contact = |id: replica::Id| {
         let millis = silent.get(&id.0).copied();
-        steward::Contact {
-            silent: duration::Span::from_millis(millis.unwrap_or(100)),
-            current: millis.is_none(),
+        reconciler::Contact {
+            silence: duration::Span::from_millis(millis.unwrap_or(100)),
+            caught_up: millis.is_none(),
         }
     };
-    steward::next(
-        &steward::Patience::default(),
+    reconciler::next_change(
+        &reconciler::Policy::default(),
         LEADER,
         members,
         contact,
@@ -119,7 +119,7 @@
 #[test]
 fn newcomer_that_is_not_heard_any_more_is_not_taken_in() {
     let mut gone = newcomer(4, 4);
-    gone.silent = duration::Span::from_secs(4);
+    gone.silence = duration::Span::from_secs(4);
 
     let change = next(&group(&[1, 2, 3], &[]), &[], &[gone]);
 
@@ -131,7 +131,7 @@
 #[test]
 fn group_has_a_majority_left_after_the_losses_that_it_is_to_bear() {
     for losses in 0..=3 {
-        let voters = steward::Patience::bearing(losses).voters;
+        let voters = reconciler::Policy::tolerating(losses).voters;
 
         let left = voters - losses as usize;
         assert!(left > voters / 2, "{losses} of {voters}");
@@ -141,13 +141,13 @@
 #[test]
 fn learner_votes_while_the_group_has_fewer_voters_than_its_losses_ask_for() {
     let members = group(&[1, 2, 3], &[4]);
-    let answers = |_| steward::Contact {
-        silent: duration::Span::from_millis(100),
-        current: true,
+    let answers = |_| reconciler::Contact {
+        silence: duration::Span::from_millis(100),
+        caught_up: true,
     };
 
-    let patience = steward::Patience::bearing(2);
-    let change = steward::next(&patience, LEADER, &members, answers, &[]);
+    let patience = reconciler::Policy::tolerating(2);
+    let change = reconciler::next_change(&patience, LEADER, &members, answers, &[]);
 
     assert_eq!(change, Some(change::Change::Promote(replica::Id(4))));
 }
--- a/crates/cranberrygap-agreement/tests/support/mod.rs
+++ b/crates/cranberrygap-agreement/tests/support/mod.rs
@@ -90,7 +90,7 @@
             match output {
                 output::Output::Send(message) => sent.push(message),
                 output::Output::Write(write) => {
-                    sent.extend(write.then);
+                    sent.extend(write.send_after);
                     more.extend(node.step(now, input::Input::Written(write.ticket)));
                 }
                 _ => {}
--- a/crates/cranberrygap-bench/src/measure/agreement/force.rs
+++ b/crates/cranberrygap-bench/src/measure/agreement/force.rs
@@ -57,7 +57,7 @@
 
 /// A key that is told from all others of the run by its number.
 fn issue(number: usize) -> eyre::Result<operator::Issue> {
-    let mut random = [0; key::RANDOM_LENGTH];
+    let mut random = [0; key::RANDOM_BYTES];
     random[..8].copy_from_slice(&(number as u64).to_le_bytes());
     let secret = key::Secret::new(random);
     Ok(operator::Issue {
--- a/crates/cranberrygap-bench/src/soak/agreement/carry.rs
+++ b/crates/cranberrygap-bench/src/soak/agreement/carry.rs
@@ -25,7 +25,7 @@
         self.check.observe(&running.node, known, &mut self.tally)?;
         let mut taken = None;
         for output in outputs {
-            if let output::Output::Taken(at) = output {
+            if let output::Output::Accepted(at) = output {
                 taken = Some(at);
             } else {
                 self.carry_out(place, &mut running, output)?;
@@ -97,7 +97,9 @@
                 let index = snapshot.position.index;
                 self.check.applied(index, &running.machine)?;
             }
-            output::Output::Taken(_) | output::Output::Refused(_) | output::Output::Ballot(_) => {}
+            output::Output::Accepted(_)
+            | output::Output::Refused(_)
+            | output::Output::VoteEvent(_) => {}
         }
         Ok(())
     }
@@ -109,7 +111,7 @@
         mut write: write::Write,
     ) {
         if self.flaw == flaw::Flaw::SentBeforeSync {
-            for message in std::mem::take(&mut write.then) {
+            for message in std::mem::take(&mut write.send_after) {
                 self.send(place, &message);
             }
         }
@@ -133,7 +135,7 @@
             return Ok(());
         }
         for write in batch {
-            for message in write.then {
+            for message in write.send_after {
                 self.send(place, &message);
             }
             self.step(place, input::Input::Written(write.ticket))?;
--- a/crates/cranberrygap-bench/src/soak/agreement/host.rs
+++ b/crates/cranberrygap-bench/src/soak/agreement/host.rs
@@ -137,11 +137,11 @@
 /// Small bounds, so that windows fill and snapshots take several chunks.
 fn limits() -> limits::Limits {
     limits::Limits {
-        message: 512,
+        message_bytes: 512,
         window: 4,
-        chunk: 300,
-        trailing: 10,
-        lag: 8,
+        chunk_bytes: 300,
+        trailing_entries: 10,
+        learner_lag: 8,
         ..limits::Limits::default()
     }
 }
--- a/crates/cranberrygap-bench/src/soak/bookings/world.rs
+++ b/crates/cranberrygap-bench/src/soak/bookings/world.rs
@@ -203,14 +203,14 @@
             }
             Event::Gone(entry, life) => {
                 self.claims
-                    .lose(self.now, &instance(entry), number::Boot(life));
+                    .mark_unknown(self.now, &instance(entry), number::Boot(life));
             }
         }
         Ok(())
     }
 
     fn apply(&mut self, step: &state::Step) -> answer::Answer {
-        let terms = state::Terms {
+        let terms = state::Lifetimes {
             deadline: duration::Span::from_millis(DEADLINE),
             retention: duration::Span::from_millis(RETENTION),
         };
--- a/crates/cranberrygap-bench/src/soak/view/control.rs
+++ b/crates/cranberrygap-bench/src/soak/view/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cranberrygap_agreement::{
-    entry, formation, hard, input, limits, message, node, output, replica, steward, write,
+    entry, formation, hard, input, limits, message, node, output, reconciler, replica, write,
 };
 use cranberrygap_control::{encoded, gather, leadership};
 use cranberrygap_model::{address, duration, id, number};
@@ -151,7 +151,7 @@
                         running.apply(&entry, hung);
                     }
                 }
-                output::Output::Ballot(ballot) => effects.notes.push(ballot.to_string()),
+                output::Output::VoteEvent(ballot) => effects.notes.push(ballot.to_string()),
                 _ => {}
             }
         }
@@ -200,7 +200,7 @@
         let proposal: command::Proposal =
             serde_json::from_slice(data).expect("the run writes proposals");
         let (_, changes) = self.fleet.apply(entry.position.index, &proposal);
-        let revision = self.fleet.seen;
+        let revision = self.fleet.view_revision;
         for pending in &mut self.pending {
             if pending.index == entry.position.index {
                 pending.revision = Some(revision);
@@ -222,7 +222,7 @@
     /// The whole view.
     pub fn snapshot(&self) -> view::Frame {
         view::Frame::Snapshot {
-            revision: self.fleet.seen,
+            revision: self.fleet.view_revision,
             state: self.fleet.view(),
         }
     }
@@ -230,8 +230,8 @@
     /// The revision that a lease asks for.
     pub const fn binding(&self, flaw: Flaw) -> number::Revision {
         match flaw {
-            Flaw::EachRevisionBinds => self.fleet.seen,
-            _ => self.fleet.binding,
+            Flaw::EachRevisionBinds => self.fleet.view_revision,
+            _ => self.fleet.binding_revision,
         }
     }
 
@@ -265,7 +265,7 @@
             phase: confirm.phase,
         };
         let boot = confirm.boot;
-        let news = self.fleet.members.is_news(&member, boot);
+        let news = self.fleet.members.would_change(&member, boot);
         news.then_some(command::Command::Member(member::Step::Seen {
             member,
             boot,
@@ -287,20 +287,20 @@
         let newcomers: Vec<_> = self
             .newcomers
             .values()
-            .map(|(hello, at)| steward::Newcomer {
+            .map(|(hello, at)| reconciler::Newcomer {
                 hello: hello.clone(),
-                silent: now.since(*at),
+                silence: now.since(*at),
             })
             .collect();
         let progress = self.node.progress();
         let last = self.node.log().last().index;
-        let lag = limits::Limits::default().lag;
+        let lag = limits::Limits::default().learner_lag;
         let contact = |id| {
             let seen = self.since.get(&id).copied().unwrap_or(now);
-            steward::Contact::new(now, seen, progress.get(&id), last, lag)
+            reconciler::Contact::new(now, seen, progress.get(&id), last, lag)
         };
-        let patience = steward::Patience::bearing(losses);
-        let change = steward::next(&patience, own, &members, contact, &newcomers)?;
+        let patience = reconciler::Policy::tolerating(losses);
+        let change = reconciler::next_change(&patience, own, &members, contact, &newcomers)?;
         if let cranberrygap_agreement::change::Change::Remove(id) = change {
             self.newcomers.retain(|_, (hello, _)| hello.id != id);
         }
--- a/crates/cranberrygap-bench/src/soak/view/duties.rs
+++ b/crates/cranberrygap-bench/src/soak/view/duties.rs
@@ -78,22 +78,23 @@
         running
             .subscribers
             .retain(|subscriber| subscriber.entry != entry);
-        let packet = if running.fleet.seen < wanted.revision || running.node.leader().is_none() {
-            Packet::Refused { call }
-        } else {
-            let gap = false;
-            let mut gather = gather::Gather::default();
-            gather.clear(clock);
-            let subscriber = Subscriber {
-                entry,
-                call,
-                gap,
-                gather,
+        let packet =
+            if running.fleet.view_revision < wanted.revision || running.node.leader().is_none() {
+                Packet::Refused { call }
+            } else {
+                let gap = false;
+                let mut gather = gather::Gather::default();
+                gather.clear(clock);
+                let subscriber = Subscriber {
+                    entry,
+                    call,
+                    gap,
+                    gather,
+                };
+                running.subscribers.push(subscriber);
+                let frame = Box::new(running.snapshot());
+                Packet::Frame { call, frame }
             };
-            running.subscribers.push(subscriber);
-            let frame = Box::new(running.snapshot());
-            Packet::Frame { call, frame }
-        };
         self.send(Place::Control(place), Place::Entry(entry), packet);
     }
 
@@ -196,7 +197,7 @@
         let mut frames = Vec::new();
         let owed = !hung && running.subscribers.iter().any(|follower| follower.gap);
         let snapshot = owed.then(|| running.snapshot());
-        let revision = running.fleet.seen;
+        let revision = running.fleet.view_revision;
         let beats = now >= running.next_heartbeat;
         for subscriber in &mut running.subscribers {
             if let Some(snapshot) = snapshot.as_ref().filter(|_| subscriber.gap) {
--- a/crates/cranberrygap-bench/src/soak/view/world.rs
+++ b/crates/cranberrygap-bench/src/soak/view/world.rs
@@ -207,7 +207,7 @@
         self.controls[place].written(&write);
         let ids = self.ids();
         let mut effects = Effects::default();
-        for message in write.then {
+        for message in write.send_after {
             super::control::send(&mut effects, &ids, message);
         }
         self.carry_out(place, effects);
--- a/crates/cranberrygap-control/src/confirmation.rs
+++ b/crates/cranberrygap-control/src/confirmation.rs
@@ -96,7 +96,7 @@
         let boot = confirm.boot;
         if !self
             .state
-            .read(|fleet| fleet.members.is_news(&member, boot))
+            .read(|fleet| fleet.members.would_change(&member, boot))
         {
             return Ok(());
         }
--- a/crates/cranberrygap-control/src/leadership.rs
+++ b/crates/cranberrygap-control/src/leadership.rs
@@ -254,8 +254,8 @@
         fleet: &fleet::Fleet,
     ) -> bool {
         let soon = now.after(LEASE_LEFT);
-        let settled =
-            fleet.seen >= revision && self.unsettled(soon, revision, fleet).next().is_none();
+        let settled = fleet.view_revision >= revision
+            && self.unsettled(soon, revision, fleet).next().is_none();
         if settled {
             self.acknowledged = self.acknowledged.max(revision);
         }
--- a/crates/cranberrygap-control/src/operators.rs
+++ b/crates/cranberrygap-control/src/operators.rs
@@ -74,7 +74,7 @@
     // A resend must get its first answer, also when the fleet has changed so
     // that the text would be refused today.
     let facts = desk.state.read(|fleet| {
-        let known = fleet.changes.knows(&apply.author.change);
+        let known = fleet.changes.contains(&apply.author.change);
         (!known).then(|| fleet.facts())
     });
     let read = configuration::read(&apply.text, &facts.unwrap_or_default());
@@ -164,12 +164,14 @@
 /// changed long ago.
 async fn list_keys(desk: &peers::Desk, (): ()) -> Result<Vec<view::Key>, server::Fault> {
     desk.proposer.check_leads()?;
-    Ok(desk.state.read(|fleet| fleet.shown().keys))
+    Ok(desk.state.read(|fleet| fleet.redacted_view().keys))
 }
 
 async fn show(desk: &peers::Desk, (): ()) -> Result<view::State, server::Fault> {
     desk.proposer.check_leads()?;
-    Ok(desk.state.read(cranberrygap_state::fleet::Fleet::shown))
+    Ok(desk
+        .state
+        .read(cranberrygap_state::fleet::Fleet::redacted_view))
 }
 
 async fn history(desk: &peers::Desk, (): ()) -> Result<Vec<operator::Record>, server::Fault> {
--- a/crates/cranberrygap-control/src/replica.rs
+++ b/crates/cranberrygap-control/src/replica.rs
@@ -91,7 +91,7 @@
         let (writer, done) = writer::start(folder)?;
         let clock = clock::Clock::start();
         let published = Arc::new(RwLock::new(published::Published::default()));
-        let limit = settings.limits.proposal;
+        let limit = settings.limits.proposal_bytes;
         let parts = core::Parts {
             settings,
             machine,
--- a/crates/cranberrygap-control/src/replica/core.rs
+++ b/crates/cranberrygap-control/src/replica/core.rs
@@ -269,9 +269,9 @@
             output::Output::Send(message) => self.send(message),
             output::Output::Apply(entries) => self.apply(entries),
             output::Output::Restore(snapshot) => self.restore(&snapshot),
-            output::Output::Ballot(ballot) => spdlog::info!("agreement: {ballot}"),
+            output::Output::VoteEvent(ballot) => spdlog::info!("agreement: {ballot}"),
             // Both are read by the callers that expect them.
-            output::Output::Taken(_) | output::Output::Refused(_) => {}
+            output::Output::Accepted(_) | output::Output::Refused(_) => {}
         }
     }
 
--- a/crates/cranberrygap-control/src/replica/core/forming.rs
+++ b/crates/cranberrygap-control/src/replica/core/forming.rs
@@ -46,14 +46,14 @@
         let Ok(group) = random() else {
             return;
         };
-        let outcome = forming.found(replica::Group(group));
+        let outcome = forming.try_form(replica::Group(group));
         self.conclude(outcome);
     }
 
     /// Takes what a replica without a group says of itself.
     pub(super) fn hello(&mut self, from: &address::Peer, hello: forming::Hello) {
         if let Phase::Forming(forming) = &mut self.phase {
-            forming.hello(&hello);
+            forming.receive_hello(&hello);
             self.try_found();
             return;
         }
@@ -85,7 +85,7 @@
     /// Takes what a replica with a group says of it.
     pub(super) fn learn(&mut self, formed: &forming::Formed) {
         if let Phase::Forming(forming) = &self.phase {
-            let outcome = forming.formed(formed);
+            let outcome = forming.receive_formed(formed);
             self.conclude(outcome);
         }
     }
@@ -98,7 +98,7 @@
                 spdlog::info!("agreement: a founder of group {}", formed.group);
                 self.join(formed, true);
             }
-            forming::Outcome::Stranger { formed, lost_disk } => {
+            forming::Outcome::NonMember { formed, lost_disk } => {
                 if lost_disk {
                     spdlog::error!(
                         "agreement: the folder is new, but {} was a voter of group {} with another \
--- a/crates/cranberrygap-control/src/replica/core/membership.rs
+++ b/crates/cranberrygap-control/src/replica/core/membership.rs
@@ -20,7 +20,7 @@
         };
         for output in node.step(now, input) {
             match output {
-                output::Output::Taken(at) => outcome = Ok(at),
+                output::Output::Accepted(at) => outcome = Ok(at),
                 output::Output::Refused(refusal) => outcome = Err(refusal),
                 other => self.carry_out(other),
             }
--- a/crates/cranberrygap-control/src/replica/formation.rs
+++ b/crates/cranberrygap-control/src/replica/formation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time;
 
-use cranberrygap_agreement::{formation, packet, replica, steward};
+use cranberrygap_agreement::{formation, packet, reconciler, replica};
 use cranberrygap_model::{address, duration, id};
 
 /// Time between two presentations of a replica without a group. Short, since a
@@ -61,13 +61,13 @@
     }
 
     /// Who presented itself, and how long ago.
-    pub(super) fn newcomers(&self) -> Vec<steward::Newcomer> {
+    pub(super) fn newcomers(&self) -> Vec<reconciler::Newcomer> {
         let all = self.presented.values();
         let newcomers = all.map(|(hello, at)| {
             let silent = u64::try_from(at.elapsed().as_micros()).unwrap_or(u64::MAX);
-            steward::Newcomer {
+            reconciler::Newcomer {
                 hello: hello.clone(),
-                silent: duration::Span(silent),
+                silence: duration::Span(silent),
             }
         });
         newcomers.collect()
--- a/crates/cranberrygap-control/src/replica/standing.rs
+++ b/crates/cranberrygap-control/src/replica/standing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cranberrygap_agreement::{members, progress, replica, steward};
+use cranberrygap_agreement::{members, progress, reconciler, replica};
 use cranberrygap_model::{duration, number};
 
 /// Who belongs to the group, how far each has come, and who presents itself.
@@ -19,5 +19,5 @@
     /// What is known of each other member.
     pub progress: BTreeMap<replica::Id, progress::Progress>,
     /// Who presented itself.
-    pub newcomers: Vec<steward::Newcomer>,
+    pub newcomers: Vec<reconciler::Newcomer>,
 }
--- a/crates/cranberrygap-control/src/replica/writer.rs
+++ b/crates/cranberrygap-control/src/replica/writer.rs
@@ -72,7 +72,7 @@
     folder.write(&writes)?;
     for write in writes {
         let ticket = write.ticket;
-        let then = write.then;
+        let then = write.send_after;
         drop(done.send(Done::Written { ticket, then }));
     }
     Ok(())
--- a/crates/cranberrygap-control/src/replicated.rs
+++ b/crates/cranberrygap-control/src/replicated.rs
@@ -55,7 +55,7 @@
         let fleet = self.fleet.read();
         let news = self.news.subscribe();
         let frame = view::Frame::Snapshot {
-            revision: fleet.seen,
+            revision: fleet.view_revision,
             state: fleet.view(),
         };
         drop(fleet);
@@ -82,13 +82,13 @@
     /// Revision of the last change that entries must have in force to get a lease.
     #[must_use]
     pub fn binding(&self) -> number::Revision {
-        self.fleet.read().binding
+        self.fleet.read().binding_revision
     }
 
     /// Revision of the last change that entries learn of.
     #[must_use]
     pub fn seen(&self) -> number::Revision {
-        self.fleet.read().seen
+        self.fleet.read().view_revision
     }
 }
 
@@ -130,7 +130,7 @@
                     let changes = changes
                         .into_iter()
                         .map(|change| Arc::new(Encoded::new(change)));
-                    let news = News::Changed(fleet.seen, Arc::new(changes.collect()));
+                    let news = News::Changed(fleet.view_revision, Arc::new(changes.collect()));
                     // Sent under the lock, so that no subscriber misses it. Fails
                     // only while there is no subscriber.
                     drop(self.news.send(news));
--- a/crates/cranberrygap-control/src/shares/term.rs
+++ b/crates/cranberrygap-control/src/shares/term.rs
@@ -45,10 +45,10 @@
 
     /// Takes over limits and lenders that are in force now.
     pub(super) fn follow(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
-        if self.read == Some(fleet.seen) {
+        if self.read == Some(fleet.view_revision) {
             return;
         }
-        self.read = Some(fleet.seen);
+        self.read = Some(fleet.view_revision);
         self.follow_limits(now, limits_of(fleet));
         self.follow_lenders(now, fleet);
     }
--- a/crates/cranberrygap-control/src/steward.rs
+++ b/crates/cranberrygap-control/src/steward.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranberrygap_agreement::{limits, replica as agreed, steward};
+use cranberrygap_agreement::{limits, reconciler, replica as agreed};
 use cranberrygap_model::{duration, id, number};
 use cranberrygap_state::{command, member};
 use cranberrygap_wire::view;
@@ -23,7 +23,7 @@
     proposer: proposer::Proposer,
     replica: Arc<replica::Replica>,
     domain: id::Domain,
-    patience: steward::Patience,
+    patience: reconciler::Policy,
     lag: u64,
     /// When each member was first seen in this term. One that was just
     /// added has not answered yet and is not silent for that.
@@ -43,8 +43,8 @@
             proposer,
             replica,
             domain,
-            patience: steward::Patience::bearing(losses),
-            lag: limits::Limits::default().lag,
+            patience: reconciler::Policy::tolerating(losses),
+            lag: limits::Limits::default().learner_lag,
             since: BTreeMap::new(),
         }
     }
@@ -66,7 +66,7 @@
         }
         self.since
             .retain(|id, _| standing.members.0.contains_key(id));
-        let change = steward::next(
+        let change = reconciler::next_change(
             &self.patience,
             standing.own,
             &standing.members,
@@ -85,10 +85,10 @@
         self.tell(standing).await;
     }
 
-    fn contact(&self, standing: &replica::Standing, id: agreed::Id) -> steward::Contact {
+    fn contact(&self, standing: &replica::Standing, id: agreed::Id) -> reconciler::Contact {
         let seen = self.since.get(&id).copied().unwrap_or(standing.now);
         let progress = standing.progress.get(&id);
-        steward::Contact::new(standing.now, seen, progress, standing.last, self.lag)
+        reconciler::Contact::new(standing.now, seen, progress, standing.last, self.lag)
     }
 
     /// Tells entries, by the replicated state, where the control processes are.
@@ -103,7 +103,7 @@
         let news = self.state.read(|fleet| {
             let fresh = current
                 .iter()
-                .filter(|(shown, boot)| fleet.members.is_news(shown, *boot));
+                .filter(|(shown, boot)| fleet.members.would_change(shown, *boot));
             let fresh = fresh.map(|(shown, boot)| member::Step::Seen {
                 member: shown.clone(),
                 boot: *boot,
--- a/crates/cranberrygap-control/tests/fleet/mod.rs
+++ b/crates/cranberrygap-control/tests/fleet/mod.rs
@@ -199,7 +199,7 @@
 }
 
 pub fn secret(number: u8) -> key::Secret {
-    key::Secret::new([number; key::RANDOM_LENGTH])
+    key::Secret::new([number; key::RANDOM_BYTES])
 }
 
 /// An entry's confirmation that `revision` is in force there.
--- a/crates/cranberrygap-control/tests/leadership.rs
+++ b/crates/cranberrygap-control/tests/leadership.rs
@@ -127,7 +127,7 @@
 fn change_is_acknowledged_once_little_is_left_of_each_lease() {
     let mut leadership = new_office();
     let mut fleet = known();
-    fleet.seen = revision(6);
+    fleet.view_revision = revision(6);
     leadership.confirm(at(0), &fleet::confirm(revision(5)));
 
     let early = leadership.acknowledge(at(949), revision(6), &fleet);
@@ -141,7 +141,7 @@
 fn change_that_all_confirmed_is_acknowledged_at_once() {
     let mut leadership = new_office();
     let mut fleet = known();
-    fleet.seen = revision(6);
+    fleet.view_revision = revision(6);
     leadership.confirm(at(0), &fleet::confirm(revision(6)));
 
     assert!(leadership.acknowledge(at(1), revision(6), &fleet));
@@ -155,7 +155,7 @@
     let mut leadership = new_office();
     let mut fleet = known();
     leadership.confirm(at(0), &fleet::confirm(revision(5)));
-    fleet.seen = revision(6);
+    fleet.view_revision = revision(6);
     leadership.mark(at(2_000), revision(6));
 
     assert!(leadership.acknowledge(at(2_010), revision(6), &fleet));
@@ -170,7 +170,7 @@
 fn lease_of_a_predecessor_counts_after_a_confirmation_without_one() {
     let mut leadership = new_office();
     let mut fleet = known();
-    fleet.seen = revision(6);
+    fleet.view_revision = revision(6);
     leadership.mark(at(0), revision(6));
     leadership.confirm(at(10), &fleet::confirm(revision(4)));
 
@@ -261,12 +261,13 @@
     };
     let command = command::Command::Residency(told);
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
-    let mut leadership = leadership::Leadership::new(number::Term(1), START, fleet.binding);
-    leadership.mark(at(0), fleet.binding);
+    let mut leadership =
+        leadership::Leadership::new(number::Term(1), START, fleet.binding_revision);
+    leadership.mark(at(0), fleet.binding_revision);
 
     let lease = leadership.confirm(at(1_000), &fleet::confirm(revision(2)));
 
-    assert_eq!(fleet.seen, revision(9));
+    assert_eq!(fleet.view_revision, revision(9));
     assert_eq!(lease, leadership::LEASE);
 }
 
@@ -280,5 +281,5 @@
 
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
 
-    assert_eq!(fleet.binding, revision(9));
+    assert_eq!(fleet.binding_revision, revision(9));
 }
--- a/crates/cranberrygap-control/tests/support/mod.rs
+++ b/crates/cranberrygap-control/tests/support/mod.rs
@@ -135,7 +135,7 @@
         root: tempfile::tempdir().unwrap(),
         snapshot_after,
         snapshot_bytes: u64::MAX,
-        trailing: limits::Limits::default().trailing,
+        trailing: limits::Limits::default().trailing_entries,
         pace: Duration::ZERO,
         keeps_last: false,
     }
@@ -159,7 +159,7 @@
             .snapshot_after(self.snapshot_after)
             .snapshot_bytes(self.snapshot_bytes)
             .limits(limits::Limits {
-                trailing: self.trailing,
+                trailing_entries: self.trailing,
                 ..limits::Limits::default()
             })
             .build();
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -133,7 +133,7 @@
             return Ok(None);
         }
         let key = self.ask.key.as_ref().ok_or(Failure::NoKey)?;
-        let key = state::hash(key);
+        let key = state::key_hash(key);
         let workspace = table.workspace(&key).ok_or(Failure::NoKey)?;
         Ok(Some(Payer {
             name: workspace.workspace.clone(),
--- a/crates/cranberrygap-state/src/change.rs
+++ b/crates/cranberrygap-state/src/change.rs
@@ -48,7 +48,7 @@
 
     /// Whether a change was taken before.
     #[must_use]
-    pub fn knows(&self, change: &id::Change) -> bool {
+    pub fn contains(&self, change: &id::Change) -> bool {
         self.answers.contains_key(change)
     }
 
--- a/crates/cranberrygap-state/src/claim.rs
+++ b/crates/cranberrygap-state/src/claim.rs
@@ -80,7 +80,7 @@
 
 /// How long claims run and are kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct Lifetimes {
     /// Longest time that any booking runs.
     pub deadline: duration::Span,
     /// Time that outcomes are kept.
@@ -89,7 +89,7 @@
 
 impl Claims {
     /// Takes one step at the time `at`.
-    pub fn apply(&mut self, at: u64, terms: Terms, step: &Step) -> answer::Answer {
+    pub fn apply(&mut self, at: u64, terms: Lifetimes, step: &Step) -> answer::Answer {
         self.sweep(at, terms);
         match step {
             Step::Open(open) => self.open(at, open),
@@ -189,7 +189,7 @@
     }
 
     /// The process that ran these bookings ended; how they ended is not known.
-    pub fn lose(&mut self, at: u64, instance: &id::Instance, boot: number::Boot) {
+    pub fn mark_unknown(&mut self, at: u64, instance: &id::Instance, boot: number::Boot) {
         for held in self.held.values_mut().flat_map(BTreeMap::values_mut) {
             if held.is_running() && held.instance == *instance && held.boot == boot {
                 held.finish(at, &claim::Outcome::Unknown);
@@ -197,7 +197,7 @@
         }
     }
 
-    fn sweep(&mut self, at: u64, terms: Terms) {
+    fn sweep(&mut self, at: u64, terms: Lifetimes) {
         if at < self.swept + SWEEP_PERIOD {
             return;
         }
--- a/crates/cranberrygap-state/src/fleet.rs
+++ b/crates/cranberrygap-state/src/fleet.rs
@@ -17,11 +17,12 @@
     /// Position of the last command that was applied.
     pub revision: number::Revision,
     /// Position of the last command from which entries learned something.
-    pub seen: number::Revision,
+    #[serde(rename = "seen")]
+    pub view_revision: number::Revision,
     /// Position of the last command that entries must have in force before somebody is
     /// told that they rely on it.
-    #[serde(default)]
-    pub binding: number::Revision,
+    #[serde(default, rename = "binding")]
+    pub binding_revision: number::Revision,
     /// The largest time of any command; it never goes back.
     pub clock: u64,
     /// The configuration and those before it.
@@ -71,10 +72,10 @@
         let command = &proposal.command;
         let outcome = self.take(command);
         if !outcome.1.is_empty() {
-            self.seen = self.revision;
+            self.view_revision = self.revision;
         }
         if outcome.1.iter().any(binding::is_binding) {
-            self.binding = self.revision;
+            self.binding_revision = self.revision;
         }
         outcome
     }
@@ -148,7 +149,7 @@
     fn apply_member(&mut self, step: &member::Step) -> Outcome {
         let outcome = self.members.apply(step);
         if let Some((instance, boot)) = &outcome.ended {
-            self.claims.lose(self.clock, instance, *boot);
+            self.claims.mark_unknown(self.clock, instance, *boot);
         }
         (answer::Answer::Done, outcome.changes)
     }
@@ -171,11 +172,11 @@
         (answer::Answer::Refused(reason.into()), Vec::new())
     }
 
-    fn claim_terms(&self) -> claim::Terms {
+    fn claim_terms(&self) -> claim::Lifetimes {
         let current = self.configuration.current();
         let exceptions = current.exceptions.iter();
         let longest = exceptions.filter_map(|exception| exception.booking_deadline);
-        claim::Terms {
+        claim::Lifetimes {
             deadline: longest.fold(current.defaults.booking_deadline, duration::Span::max),
             retention: current.defaults.claim_retention,
         }
@@ -204,10 +205,10 @@
     pub fn dump(&self) -> serde_json::Value {
         serde_json::json!({
             "revision": self.revision,
-            "seen": self.seen,
-            "binding": self.binding,
+            "seen": self.view_revision,
+            "binding": self.binding_revision,
             "clock": self.clock,
-            "view": self.shown(),
+            "view": self.redacted_view(),
             "configurations": self.configuration.revisions().collect::<Vec<_>>(),
             "claims": self.claims.dump(),
             "trail": self.audit.read(&cranberrygap_wire::audit::Read { from: u64::MAX, limit: 0 }),
@@ -216,7 +217,7 @@
 
     /// The view without hashes of keys.
     #[must_use]
-    pub fn shown(&self) -> view::State {
+    pub fn redacted_view(&self) -> view::State {
         let mut view = self.view();
         for key in &mut view.keys {
             key.hash = SmolStr::default();
--- a/crates/cranberrygap-state/src/key.rs
+++ b/crates/cranberrygap-state/src/key.rs
@@ -20,7 +20,7 @@
 const CONTEXT: &str = "cranberrygap 2026-12 caller key";
 
 /// Bytes of random numbers in a secret; the first few make the public id.
-pub const RANDOM_LENGTH: usize = 32;
+pub const RANDOM_BYTES: usize = 32;
 
 /// Random bytes that become the public id.
 const ID_LENGTH: usize = 8;
@@ -56,7 +56,7 @@
     ///
     /// Never; hex is a valid name.
     #[must_use]
-    pub fn new(random: [u8; RANDOM_LENGTH]) -> Self {
+    pub fn new(random: [u8; RANDOM_BYTES]) -> Self {
         let hex = blake3::Hash::from_bytes(random).to_hex();
         let (public, secret) = hex.split_at(2 * ID_LENGTH);
         let public = format!("cg-{public}");
--- a/crates/cranberrygap-state/src/member.rs
+++ b/crates/cranberrygap-state/src/member.rs
@@ -153,7 +153,7 @@
 
     /// Whether news of a member would change something.
     #[must_use]
-    pub fn is_news(&self, member: &view::Member, boot: number::Boot) -> bool {
+    pub fn would_change(&self, member: &view::Member, boot: number::Boot) -> bool {
         let mut trial = Self::default();
         if let Some(known) = self.members.get(&member.instance) {
             trial.members.insert(member.instance.clone(), known.clone());
--- a/crates/cranberrygap-state/src/traffic.rs
+++ b/crates/cranberrygap-state/src/traffic.rs
@@ -116,7 +116,7 @@
 
 /// The keyed hash under which a plan holds a key.
 #[must_use]
-pub fn hash(key: &str) -> SmolStr {
+pub fn key_hash(key: &str) -> SmolStr {
     let secret = blake3::derive_key(CONTEXT, b"");
     SmolStr::new(
         blake3::keyed_hash(&secret, key.as_bytes())
--- a/crates/cranberrygap-state/tests/traffic.rs
+++ b/crates/cranberrygap-state/tests/traffic.rs
@@ -27,7 +27,7 @@
 fn workspace(name: &str, key: &str) -> traffic::Workspace {
     traffic::Workspace {
         workspace: name.parse().expect("a name"),
-        keys: vec![state::hash(key)],
+        keys: vec![state::key_hash(key)],
         priority: None,
         rate: token::Rate(100.0),
         burst: token::Count(100),
@@ -158,7 +158,7 @@
     let shown = fleet.dump().to_string();
 
     assert!(!shown.contains("first-key"));
-    assert!(!shown.contains(state::hash("first-key").as_str()));
+    assert!(!shown.contains(state::key_hash("first-key").as_str()));
 }
 
 // An endpoint is gone, its address was given to another one, and a heartbeat of the
--- a/crates/cranberrygap/src/command/key/issue.rs
+++ b/crates/cranberrygap/src/command/key/issue.rs
@@ -79,7 +79,7 @@
 }
 
 fn draw() -> Result<key::Secret, Failure> {
-    let mut random = [0; key::RANDOM_LENGTH];
+    let mut random = [0; key::RANDOM_BYTES];
     getrandom::fill(&mut random).map_err(|cause| Failure::Random(cause.to_string()))?;
     Ok(key::Secret::new(random))
 }
--- a/crates/cranberrygap/src/local.rs
+++ b/crates/cranberrygap/src/local.rs
@@ -359,8 +359,8 @@
     }
 }
 
-fn draw() -> Result<[u8; key::RANDOM_LENGTH], Error> {
-    let mut random = [0; key::RANDOM_LENGTH];
+fn draw() -> Result<[u8; key::RANDOM_BYTES], Error> {
+    let mut random = [0; key::RANDOM_BYTES];
     getrandom::fill(&mut random).map_err(io::Error::other)?;
     Ok(random)
 }
--- a/crates/cranberrygap/tests/support/fleet.rs
+++ b/crates/cranberrygap/tests/support/fleet.rs
@@ -190,7 +190,7 @@
 
     /// Issues a key that works everywhere when this returns.
     pub async fn issue(&self, workspace: &str) -> key::Secret {
-        let mut random = [0; key::RANDOM_LENGTH];
+        let mut random = [0; key::RANDOM_BYTES];
         getrandom::fill(&mut random).unwrap();
         let secret = key::Secret::new(random);
         let issue = operator::Issue {
