--- a/crates/cranberrygap-agreement/src/change.rs
+++ b/crates/cranberrygap-agreement/src/change.rs
@@ -1,21 +1,21 @@
-//! Changes of the membership, one at a time.
+//! Membership changes, applied one at a time.
 
 use cranberrygap_model::address;
 
 use crate::replica;
 
-/// One change of the membership.
+/// One membership change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Adds a replica that receives the log but does not vote.
     AddLearner {
-        /// Its id.
+        /// Id of the new learner.
         id: replica::Id,
-        /// Where it listens.
+        /// Instance and address of the new learner.
         peer: address::Peer,
     },
     /// Makes a learner that has caught up a voter.
     Promote(replica::Id),
-    /// Takes a replica out.
+    /// Removes a replica from the group.
     Remove(replica::Id),
 }
--- a/crates/cranberrygap-agreement/src/entry.rs
+++ b/crates/cranberrygap-agreement/src/entry.rs
@@ -5,10 +5,10 @@
 
 use crate::{members, position};
 
-/// What an entry carries.
+/// Payload of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Written by a new leader, so that it learns what is committed.
+    /// Written by a new leader, so that it learns the commit index.
     Empty,
     /// A new membership, in force as soon as it is in a log.
     Members(members::Members),
@@ -19,26 +19,26 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
+    /// Term and index of the entry.
     pub position: position::Position,
-    /// What it carries.
+    /// Payload of the entry.
     pub payload: Payload,
 }
 
-/// Bytes that an entry takes besides its data; generous, for bounds only.
-const OVERHEAD: usize = 64;
+/// Upper bound, in bytes, on what an entry takes besides its data; used for limits only.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// Bytes that a member takes in an entry; generous, for bounds only.
-const MEMBER: usize = 256;
+/// Upper bound, in bytes, on what a member takes in an entry; used for limits only.
+const MAX_MEMBER_BYTES: usize = 256;
 
 impl Entry {
-    /// Size for bounds on messages, in bytes, rounded up.
+    /// Size used for limits on messages, in bytes, rounded up.
     #[must_use]
     pub fn size(&self) -> usize {
         match &self.payload {
-            Payload::Empty => OVERHEAD,
-            Payload::Members(members) => OVERHEAD + members.0.len() * MEMBER,
-            Payload::Data(data) => OVERHEAD + data.len(),
+            Payload::Empty => ENTRY_OVERHEAD_BYTES,
+            Payload::Members(members) => ENTRY_OVERHEAD_BYTES + members.0.len() * MAX_MEMBER_BYTES,
+            Payload::Data(data) => ENTRY_OVERHEAD_BYTES + data.len(),
         }
     }
 }
--- a/crates/cranberrygap-agreement/src/formation.rs
+++ b/crates/cranberrygap-agreement/src/formation.rs
@@ -1,10 +1,10 @@
-//! How a group is formed, once, and how a lost disk is noticed.
+//! One-time formation of a group, and detection of lost disks.
 //!
-//! Each replica draws an id when its folder is created and presents itself to
+//! Each replica draws an id when its data folder is created and sends a hello to
 //! the instances in its settings. The founder, the first of them by name, forms
-//! the group when it has heard from all of them; the others take the group over
-//! from any replica that has it. A replica whose id is not among the founders of
-//! an existing group lost its disk or is new: it must be added as a learner.
+//! the group once it has heard from all of them; the others adopt the group from
+//! any replica that belongs to it. A replica whose id is not among the founders
+//! of an existing group is new or lost its disk: it must be added as a learner.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,26 @@
 
 use crate::{entry, member, members, position, replica};
 
-/// A replica without a group presents itself.
+/// Sent by a replica that belongs to no group yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its id.
+    /// Id of the sender.
     pub id: replica::Id,
-    /// Instance and address.
+    /// Instance and address of the sender.
     pub peer: address::Peer,
 }
 
 /// A group and its first members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Formed {
-    /// The group.
+    /// Id of the group.
     pub group: replica::Group,
-    /// Its first members.
+    /// First members of the group.
     pub founders: members::Members,
 }
 
 impl Formed {
-    /// The first entry of every log of the group.
+    /// Returns the first entry of every log of the group.
     #[must_use]
     pub fn first_entry(&self) -> entry::Entry {
         entry::Entry {
@@ -45,66 +45,66 @@
     }
 }
 
-/// What a replica without a group has come to.
+/// Result of a step of formation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing yet.
+    /// The group is not known yet.
     Waiting,
     /// The group exists and this replica is one of its founders.
     Founder(Formed),
-    /// The group exists and does not know this folder.
+    /// The group exists and this replica is not one of its founders.
     NonMember {
-        /// The group.
+        /// The group and its founders.
         formed: Formed,
-        /// Whether this instance was a founder with another folder.
+        /// Whether this instance was a founder with another data folder.
         lost_disk: bool,
     },
 }
 
-/// A replica that has no group yet.
+/// State of a replica that has no group yet.
 #[derive(Debug, Clone)]
 pub struct Formation {
     own: Hello,
     voters: Vec<address::Peer>,
-    heard: BTreeMap<id::Instance, replica::Id>,
+    ids: BTreeMap<id::Instance, replica::Id>,
 }
 
 impl Formation {
-    /// A replica with the instances that its settings name as voters.
+    /// Starts formation with the instances that the settings name as voters.
     #[must_use]
     pub fn new(own: Hello, voters: Vec<address::Peer>) -> Self {
-        let heard = BTreeMap::from([(own.peer.instance.clone(), own.id)]);
-        Self { own, voters, heard }
+        let ids = BTreeMap::from([(own.peer.instance.clone(), own.id)]);
+        Self { own, voters, ids }
     }
 
-    /// Takes what another replica without a group says of itself.
+    /// Records the hello of another replica without a group.
     pub fn receive_hello(&mut self, hello: &Hello) {
         let instance = hello.peer.instance.clone();
         if instance != self.own.peer.instance {
-            self.heard.insert(instance, hello.id);
+            self.ids.insert(instance, hello.id);
         }
     }
 
-    /// Instances that have not been heard from.
+    /// Returns the instances that have not been heard from.
     #[must_use]
     pub fn missing(&self) -> Vec<&address::Peer> {
-        let unheard = |peer: &&address::Peer| !self.heard.contains_key(&peer.instance);
-        self.voters.iter().filter(unheard).collect()
+        let is_missing = |peer: &&address::Peer| !self.ids.contains_key(&peer.instance);
+        self.voters.iter().filter(is_missing).collect()
     }
 
-    /// Forms the group if this replica is the founder and has heard from all.
+    /// Forms the group if this replica is the founder and has heard from all instances.
     ///
-    /// A replica that lost its disk might found a second group with others that
-    /// lost theirs, while a third one still holds what was accepted. Since all
-    /// must be heard, the third one tells them that the group exists.
+    /// Hearing from all of them prevents a second group: replicas that lost their
+    /// disks could otherwise form one while another replica still holds accepted
+    /// changes. That replica tells them that the group exists.
     #[must_use]
     pub fn try_form(&self, group: replica::Group) -> Outcome {
-        let first = self.voters.iter().map(|peer| &peer.instance).min();
-        if first != Some(&self.own.peer.instance) || !self.missing().is_empty() {
+        let founder = self.voters.iter().map(|peer| &peer.instance).min();
+        if founder != Some(&self.own.peer.instance) || !self.missing().is_empty() {
             return Outcome::Waiting;
         }
         let founders = self.voters.iter().filter_map(|peer| {
-            let id = self.heard.get(&peer.instance)?;
+            let id = self.ids.get(&peer.instance)?;
             let peer = peer.clone();
             Some((*id, member::Member { peer, voter: true }))
         });
@@ -112,7 +112,7 @@
         Outcome::Founder(Formed { group, founders })
     }
 
-    /// Takes what a replica with a group says of it.
+    /// Adopts a group that another replica belongs to.
     #[must_use]
     pub fn receive_formed(&self, formed: &Formed) -> Outcome {
         if formed.founders.is_voter(self.own.id) {
--- a/crates/cranberrygap-agreement/src/lib.rs
+++ b/crates/cranberrygap-agreement/src/lib.rs
@@ -3,7 +3,7 @@
 //! Raft as published by Ongaro and Ousterhout (2014), with pre-vote,
 //! check-quorum, a leader lease, leadership transfer, learners, membership
 //! changes one at a time, and snapshots in chunks. [`node::Node`] takes an
-//! input with the time and gives outputs; a driver writes, sends and applies.
+//! input with the current time and returns outputs; a driver writes, sends and applies.
 
 pub mod change;
 pub mod entry;
--- a/crates/cranberrygap-agreement/src/limits.rs
+++ b/crates/cranberrygap-agreement/src/limits.rs
@@ -1,38 +1,38 @@
-//! Bounds on messages, windows and memory.
+//! Limits on messages, windows and memory.
 
-/// Bounds; a slow or hostile peer cannot make a replica hold more.
+/// Limits that keep a slow or hostile peer from making a replica hold more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Largest proposal, in bytes.
     pub proposal_bytes: usize,
-    /// Entries in one message, in bytes; one entry always fits.
+    /// Most bytes of entries in one message; a single entry always fits.
     pub message_bytes: usize,
-    /// Messages with entries on their way to one follower.
+    /// Most messages with entries in flight to one follower.
     pub window: usize,
-    /// Proposals that are not committed yet, in bytes.
+    /// Most bytes of proposals that are not committed yet.
     pub uncommitted_bytes: usize,
-    /// Snapshot bytes in one message.
+    /// Most bytes of a snapshot in one message.
     pub chunk_bytes: usize,
-    /// Largest snapshot that is taken from a leader, in bytes.
+    /// Largest snapshot that is accepted from a leader, in bytes.
     pub snapshot_bytes: usize,
     /// Entries kept in memory behind a snapshot, for followers that lag a little.
     pub trailing_entries: u64,
-    /// The same in bytes, so that large entries do not fill memory and disk.
+    /// Most bytes of these entries, so that large ones do not fill memory and disk.
     pub trailing_bytes: usize,
-    /// Entries handed out for applying in one step, in bytes; one entry always fits.
+    /// Most bytes of entries returned for applying in one step; a single entry always fits.
     pub apply_bytes: usize,
-    /// Entries that a learner may lack when it becomes a voter.
+    /// Most entries that a learner may lack when it becomes a voter.
     pub learner_lag: u64,
-    /// Most voters.
+    /// Most voters in a group.
     pub max_voters: usize,
 }
 
 impl Default for Limits {
     // A message stays below the frame limit of common WebSocket servers (1 MiB
-    // or more); the window of 16 messages fills 4 MiB, enough for a round trip
-    // between failure domains. Seven voters tolerate three failures. 64 KiB of changes
-    // take some 5 ms of a core to apply, 70 ms of the smallest share that is planned for,
-    // a small part of an election timeout.
+    // or more). The window of 16 messages holds 4 MiB, enough to fill a round trip
+    // between failure domains. Seven voters tolerate three failures. Applying 64 KiB
+    // of changes takes about 5 ms of a core, or 70 ms of the smallest planned CPU
+    // share, a small part of an election timeout.
     fn default() -> Self {
         Self {
             proposal_bytes: 512 << 10,
--- a/crates/cranberrygap-agreement/src/log.rs
+++ b/crates/cranberrygap-agreement/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: entries after a base, and the membership along it.
+//! The log in memory: entries after a base position, and the memberships in them.
 
 use cranberrygap_model::number;
 
@@ -13,7 +13,7 @@
 }
 
 impl Log {
-    /// A log that begins after `base`, where `members` was in force.
+    /// Creates an empty log after `base`, where `members` is in force.
     #[must_use]
     pub fn new(base: position::Position, members: members::Members) -> Self {
         Self {
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Position before the first entry.
+    /// Returns the position before the first entry.
     #[must_use]
     pub fn base(&self) -> position::Position {
         self.base
     }
 
-    /// Position of the last entry.
+    /// Returns the position of the last entry, or the base if there is none.
     #[must_use]
     pub fn last(&self) -> position::Position {
         self.entries
@@ -37,7 +37,7 @@
             .map_or(self.base, |entry| entry.position)
     }
 
-    /// Position at `index`, if it is known.
+    /// Returns the position at `index`, if it is known.
     #[must_use]
     pub fn position(&self, index: number::Index) -> Option<position::Position> {
         if index == self.base.index {
@@ -46,14 +46,14 @@
         self.get(index).map(|entry| entry.position)
     }
 
-    /// Entry at `index`.
+    /// Returns the entry at `index`.
     #[must_use]
     pub fn get(&self, index: number::Index) -> Option<&entry::Entry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from `first` to `last`, both included.
+    /// Returns the entries from `first` to `last`, both included.
     #[must_use]
     pub fn slice(&self, first: number::Index, last: number::Index) -> &[entry::Entry] {
         let offset = |index: u64| {
@@ -65,19 +65,19 @@
         &self.entries[start..end]
     }
 
-    /// Latest membership, committed or not.
+    /// Returns the latest membership, committed or not.
     #[must_use]
     pub fn members(&self) -> &members::Members {
         &self.latest().1
     }
 
-    /// Index of the latest membership.
+    /// Returns the index of the latest membership.
     #[must_use]
     pub fn members_index(&self) -> number::Index {
         self.latest().0
     }
 
-    /// Membership in force at `index`.
+    /// Returns the membership in force at `index`.
     #[must_use]
     pub fn members_at(&self, index: number::Index) -> &members::Members {
         let found = self.memberships.iter().rfind(|(at, _)| *at <= index);
@@ -98,7 +98,7 @@
         self.entries.push(entry);
     }
 
-    /// Drops all entries from `first` on.
+    /// Removes all entries from `first` on.
     pub fn truncate(&mut self, first: number::Index) {
         let keep = first.0.saturating_sub(self.base.index.0 + 1);
         let keep = usize::try_from(keep).unwrap_or(usize::MAX);
@@ -108,7 +108,7 @@
             .retain(|(at, _)| *at < first || *at <= base);
     }
 
-    /// Drops all entries up to `index` and makes it the base.
+    /// Removes all entries up to `index` and makes it the base.
     pub fn compact(&mut self, index: number::Index) {
         let Some(base) = self.position(index) else {
             return;
--- a/crates/cranberrygap-agreement/src/member.rs
+++ b/crates/cranberrygap-agreement/src/member.rs
@@ -3,11 +3,11 @@
 use cranberrygap_model::address;
 use serde::{Deserialize, Serialize};
 
-/// A replica with its address and whether it votes.
+/// Address of a replica, and whether it votes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Instance and address.
+    /// Instance and address of the replica.
     pub peer: address::Peer,
-    /// A voter counts in quorums; a learner only receives the log.
+    /// Whether the replica counts in quorums; a learner only receives the log.
     pub voter: bool,
 }
--- a/crates/cranberrygap-agreement/src/members.rs
+++ b/crates/cranberrygap-agreement/src/members.rs
@@ -13,7 +13,7 @@
 pub struct Members(pub BTreeMap<replica::Id, member::Member>);
 
 impl Members {
-    /// Ids of the voters in order.
+    /// Returns the ids of the voters in order.
     pub fn voters(&self) -> impl Iterator<Item = replica::Id> + '_ {
         self.0
             .iter()
@@ -21,26 +21,26 @@
             .map(|(id, _)| *id)
     }
 
-    /// Whether `id` votes.
+    /// Returns whether `id` is a voter.
     #[must_use]
     pub fn is_voter(&self, id: replica::Id) -> bool {
         self.0.get(&id).is_some_and(|member| member.voter)
     }
 
-    /// Number of voters that make a majority.
+    /// Returns the number of voters that make a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The value that at least a quorum of voters has reached.
+    /// Returns the largest value that at least a quorum of voters has reached.
     pub fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(replica::Id) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(self.quorum() - 1).copied()
     }
 
-    /// The member of that instance with that standing.
+    /// Returns the voter, or the learner, that runs on an instance.
     #[must_use]
     pub fn find(&self, instance: &id::Instance, voter: bool) -> Option<replica::Id> {
         self.0
--- a/crates/cranberrygap-agreement/src/message.rs
+++ b/crates/cranberrygap-agreement/src/message.rs
@@ -9,64 +9,64 @@
 /// A message from one replica to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Group of both; a message of another group is dropped.
+    /// Group of both replicas; a message of another group is dropped.
     pub group: replica::Group,
-    /// Sender.
+    /// Id of the sender.
     pub from: replica::Id,
-    /// Receiver; a message for another id is dropped.
+    /// Id of the receiver; a message for another id is dropped.
     pub to: replica::Id,
-    /// Sender's term.
+    /// Term of the sender.
     pub term: number::Term,
-    /// What it says.
+    /// Content of the message.
     pub body: Body,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote in the next term would be given; changes nothing.
+    /// Asks whether a vote in the next term would be granted; changes nothing.
     PreVote {
         /// End of the sender's log.
         last: position::Position,
     },
-    /// Answer to `PreVote`.
+    /// Reply to `PreVote`.
     PreVoted {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
-        /// Term that was asked about.
+        /// Term that the request asked about.
         asked: number::Term,
     },
-    /// Asks for a vote in the sender's term.
+    /// Requests a vote in the sender's term.
     Vote {
         /// End of the sender's log.
         last: position::Position,
-        /// The leader asked the sender to take over, so its lease has ended.
+        /// Whether the leader asked the sender to take over, so that its lease has ended.
         forced: bool,
     },
-    /// Answer to `Vote`.
+    /// Reply to `Vote`.
     Voted {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Replicates entries; without entries it is a heartbeat.
     Append {
         /// Position before the entries.
         previous: position::Position,
         /// Entries in order.
         entries: Vec<entry::Entry>,
-        /// Leader's committed index.
+        /// Commit index of the leader.
         committed: number::Index,
-        /// Leader's clock at sending; comes back in the answer.
+        /// Leader's clock at sending; returned in the reply.
         sent: duration::Instant,
     },
-    /// Entries up to `matched` are durable and equal to the leader's.
+    /// Reply to `Append`: entries up to `matched` are durable and equal to the leader's.
     Appended {
         /// Last index that is durable and equal.
         matched: number::Index,
         /// Time of sending from the leader's message.
         sent: duration::Instant,
     },
-    /// The log does not contain the position before the entries.
+    /// Reply to `Append`: the log does not contain the position before the entries.
     Rejected {
         /// Index of that position.
         previous: number::Index,
@@ -75,30 +75,30 @@
         /// Time of sending from the leader's message.
         sent: duration::Instant,
     },
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     Chunk {
-        /// Last entry in the snapshot.
+        /// Position of the last entry in the snapshot.
         position: position::Position,
         /// Membership at that position.
         members: members::Members,
-        /// Where the part begins.
+        /// Offset of the chunk in the snapshot, in bytes.
         offset: u64,
-        /// Size of the snapshot.
+        /// Size of the snapshot, in bytes.
         total: u64,
-        /// The part.
+        /// Bytes of the chunk.
         data: Bytes,
-        /// Leader's clock at sending; comes back in the answer.
+        /// Leader's clock at sending; returned in the reply.
         sent: duration::Instant,
     },
-    /// How much of a snapshot has arrived.
+    /// Reply to `Chunk`: how much of the snapshot has arrived.
     Chunked {
-        /// Last entry in the snapshot.
+        /// Position of the last entry in the snapshot.
         position: position::Position,
         /// Bytes held; equal to the total once the snapshot is durable.
         held: u64,
         /// Time of sending from the leader's message.
         sent: duration::Instant,
     },
-    /// The leader asks the receiver to take over at once.
+    /// Sent by a leader that asks the receiver to take over at once.
     TakeOver,
 }
--- a/crates/cranberrygap-agreement/src/node.rs
+++ b/crates/cranberrygap-agreement/src/node.rs
@@ -1,14 +1,14 @@
-//! One replica of the protocol as a state machine without I/O.
+//! One replica of the protocol, as a state machine without I/O.
 
-mod change;
 mod election;
 mod follower;
 mod leader;
 mod lease;
-mod sending;
+mod membership;
+mod persistence;
+mod replication;
 mod state;
 mod transfer;
-mod writing;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -22,20 +22,20 @@
     vote,
 };
 
-/// Everything a node starts from: what is durable, and its settings.
+/// Start of a node: its durable state and its settings.
 #[derive(Debug, bon::Builder)]
 pub struct Start {
-    /// This replica.
+    /// Id of this replica.
     pub id: replica::Id,
-    /// Its group.
+    /// Id of its group.
     pub group: replica::Group,
-    /// Timeouts.
+    /// Timeouts of the protocol.
     #[builder(default)]
     pub timing: timing::Timing,
-    /// Bounds.
+    /// Limits on messages, windows and memory.
     #[builder(default)]
     pub limits: limits::Limits,
-    /// Seed of the election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
     /// Durable term and vote.
     #[builder(default)]
@@ -45,19 +45,19 @@
     /// Durable entries after the snapshot.
     #[builder(default)]
     pub entries: Vec<entry::Entry>,
-    /// Whether this replica has never run before, so that it promised nothing.
+    /// Whether this replica has never run before, so that it has promised nothing to a leader.
     #[builder(default)]
     pub fresh: bool,
 }
 
-/// A snapshot on its way from the leader.
+/// A snapshot that is being received from the leader.
 #[derive(Debug, Clone)]
-struct Incoming {
+struct IncomingSnapshot {
     position: position::Position,
     data: Vec<u8>,
 }
 
-/// One replica.
+/// One replica of the protocol.
 #[derive(Debug, Clone)]
 pub struct Node {
     id: replica::Id,
@@ -73,29 +73,30 @@
     durable: number::Index,
     role: role::Role,
     leader: Option<replica::Id>,
-    heard: Option<duration::Instant>,
-    /// Until when this node asks for votes often, as it may have led when it stopped.
-    returns: Option<duration::Instant>,
-    deadline: duration::Instant,
-    incoming: Option<Incoming>,
-    writing: VecDeque<(u64, number::Index)>,
+    heard_leader_at: Option<duration::Instant>,
+    /// Time until which pre-votes are repeated at every heartbeat period, because this
+    /// node may have led before it stopped.
+    rapid_pre_votes_until: Option<duration::Instant>,
+    election_deadline: duration::Instant,
+    incoming: Option<IncomingSnapshot>,
+    pending_writes: VecDeque<(u64, number::Index)>,
     next_ticket: u64,
     dirty: Dirty,
     outputs: Vec<output::Output>,
 }
 
-/// What this step has changed that is not handed out for writing yet.
+/// Changes that are not handed out for writing yet.
 #[derive(Debug, Clone, Default)]
 struct Dirty {
     hard: bool,
     entries: Option<number::Index>,
     snapshot: Option<Arc<snapshot::Snapshot>>,
     reset: bool,
-    then: Vec<message::Message>,
+    send_after: Vec<message::Message>,
 }
 
 impl Node {
-    /// A node that continues from what is durable.
+    /// Creates a node that continues from its durable state.
     #[must_use]
     pub fn new(start: Start, now: duration::Instant) -> Self {
         let base = start.snapshot.as_ref().map(|found| found.position);
@@ -105,13 +106,13 @@
         for entry in start.entries {
             log.append(entry);
         }
-        // A voter that restarts has forgotten that it promised a leader its
-        // loyalty a moment ago. One would see two leaders that both believe in
-        // their lease. So it acts as if it had heard from a leader just now. Only
-        // one whose last vote was for itself has followed nobody since.
-        let own = start.hard.vote == Some(start.id);
-        let heard = (!start.fresh && !own).then_some(now);
-        let returns = own.then(|| now.after(start.timing.election_min));
+        // A restarted voter has lost the time of its last contact with a leader, to
+        // which it promised its vote. If it voted at once, two leaders could both hold
+        // a lease. So it acts as if it had just heard from a leader, unless its last
+        // vote was for itself: such a replica has followed nobody since.
+        let voted_for_self = start.hard.vote == Some(start.id);
+        let heard_leader_at = (!start.fresh && !voted_for_self).then_some(now);
+        let rapid_pre_votes_until = voted_for_self.then(|| now.after(start.timing.election_min));
         let mut node = Self {
             id: start.id,
             group: start.group,
@@ -126,41 +127,41 @@
             applied: base.index,
             role: role::Role::Follower,
             leader: None,
-            heard,
-            returns,
-            deadline: now,
+            heard_leader_at,
+            rapid_pre_votes_until,
+            election_deadline: now,
             incoming: None,
-            writing: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             next_ticket: 1,
             dirty: Dirty::default(),
             outputs: Vec::new(),
         };
-        // Of a new group only one founder campaigns at once, lest votes be split.
-        let first = start.fresh && node.members().voters().next() == Some(start.id);
-        if !node.sole_voter() && !first && !own {
+        // In a new group only one founder campaigns at once, so that the vote is not split.
+        let is_first_founder = start.fresh && node.members().voters().next() == Some(start.id);
+        if !node.is_sole_voter() && !is_first_founder && !voted_for_self {
             node.postpone_election(now);
         }
         node
     }
 
-    /// Takes one input and says what has to be done, in order.
+    /// Processes one input and returns what must be done, in order.
     pub fn step(&mut self, now: duration::Instant, input: input::Input) -> Vec<output::Output> {
         match input {
             input::Input::Tick => {}
             input::Input::Receive(message) => self.receive(now, message),
             input::Input::Propose(payloads) => self.propose(now, payloads),
-            input::Input::Change(change) => self.change(now, change),
-            input::Input::Transfer(to) => self.transfer(now, to),
-            input::Input::Written(ticket) => self.written(now, ticket),
-            input::Input::Snapshot { index, data } => self.compact(index, data),
+            input::Input::Change(change) => self.change_members(now, change),
+            input::Input::Transfer(to) => self.begin_transfer(now, to),
+            input::Input::Written(ticket) => self.complete_writes(now, ticket),
+            input::Input::Snapshot { index, data } => self.compact_log(index, data),
         }
         self.tick(now);
         self.apply();
-        self.flush();
+        self.flush_writes();
         std::mem::take(&mut self.outputs)
     }
 
-    fn sole_voter(&self) -> bool {
+    fn is_sole_voter(&self) -> bool {
         self.members().is_voter(self.id) && self.members().voters().count() == 1
     }
 
@@ -173,24 +174,26 @@
         }
         let from = message.from;
         match message.body {
-            message::Body::PreVote { last } => self.pre_vote(now, &message, last),
+            message::Body::PreVote { last } => self.handle_pre_vote(now, &message, last),
             message::Body::PreVoted { granted, asked } => {
-                self.pre_voted(now, from, granted, asked);
+                self.handle_pre_voted(now, from, granted, asked);
             }
-            message::Body::Vote { last, .. } => self.vote(now, from, last),
-            message::Body::Voted { granted } => self.voted(now, from, granted),
+            message::Body::Vote { last, .. } => self.handle_vote(now, from, last),
+            message::Body::Voted { granted } => self.handle_voted(now, from, granted),
             message::Body::Append {
                 previous,
                 entries,
                 committed,
                 sent,
-            } => self.append(now, from, previous, entries, committed, sent),
-            message::Body::Appended { matched, sent } => self.appended(now, from, matched, sent),
+            } => self.handle_append(now, from, previous, entries, committed, sent),
+            message::Body::Appended { matched, sent } => {
+                self.handle_appended(now, from, matched, sent);
+            }
             message::Body::Rejected {
                 previous,
                 hint,
                 sent,
-            } => self.rejected(now, from, previous, hint, sent),
+            } => self.handle_rejected(now, from, previous, hint, sent),
             message::Body::Chunk {
                 position,
                 members,
@@ -199,59 +202,59 @@
                 data,
                 sent,
             } => {
-                let part = follower::Part {
+                let chunk = follower::Chunk {
                     position,
                     members,
                     offset,
                     total,
                     data,
                 };
-                self.chunk(now, from, part, sent);
+                self.handle_chunk(now, from, chunk, sent);
             }
             message::Body::Chunked {
                 position,
                 held,
                 sent,
-            } => self.chunked(now, from, position, held, sent),
-            message::Body::TakeOver => self.take_over(now),
+            } => self.handle_chunked(now, from, position, held, sent),
+            message::Body::TakeOver => self.handle_take_over(now),
         }
     }
 
-    /// Takes over a higher term; false if the message is to be dropped.
+    /// Adopts the term of a message if it is higher; returns false if the message must be dropped.
     fn adopt_term(&mut self, now: duration::Instant, message: &message::Message) -> bool {
         let newer = message.term > self.hard.term;
         let older = message.term < self.hard.term;
         match &message.body {
             message::Body::PreVote { .. } => return true,
-            // A replica that was cut off asks for votes in a high term when it
-            // comes back. One would see the leader fall for no reason, or a
-            // second leader elected while the first one's lease runs. Voters
-            // that heard from a leader within the shortest timeout don't listen.
-            message::Body::Vote { forced, .. } if !forced && self.loyal(now, message) => {
-                let refusal = Some(vote::Reason::Loyal);
-                self.tell_vote(vote::Kind::Real, message.from, message.term, refusal);
+            // A replica that was cut off requests votes in a high term when it comes
+            // back. Granting them would depose the leader for no reason, or elect a
+            // second leader while the first one's lease runs. So voters that heard
+            // from a leader within the shortest timeout ignore the request.
+            message::Body::Vote { forced, .. } if !forced && self.withholds_vote(now, message) => {
+                let refusal = Some(vote::Reason::RecentLeader);
+                self.emit_vote_reply(vote::Kind::Vote, message.from, message.term, refusal);
                 return false;
             }
-            // An office that is over; the sender learns the term from the refusal.
+            // The candidate's term is over; it learns the current term from the refusal.
             message::Body::Vote { .. } if older => {
-                let refusal = Some(vote::Reason::OldTerm(self.hard.term));
-                self.tell_vote(vote::Kind::Real, message.from, message.term, refusal);
+                let refusal = Some(vote::Reason::StaleTerm(self.hard.term));
+                self.emit_vote_reply(vote::Kind::Vote, message.from, message.term, refusal);
                 self.send(message.from, message::Body::Voted { granted: false });
                 return false;
             }
             message::Body::Append { sent, .. } | message::Body::Chunk { sent, .. } if older => {
-                let none = number::Index(0);
+                let no_index = number::Index(0);
                 let body = message::Body::Rejected {
-                    previous: none,
-                    hint: none,
+                    previous: no_index,
+                    hint: no_index,
                     sent: *sent,
                 };
                 self.send(message.from, body);
                 return false;
             }
-            // A voter that missed a term tells so with its grant and still counts;
-            // else a group whose voters stand in different terms stays without a
-            // leader for good. The term asked about tells a late answer apart.
+            // A grant from a voter that missed a term still counts; otherwise a group
+            // whose voters are in different terms would never elect a leader. `asked`
+            // identifies replies that are late.
             message::Body::PreVoted { .. } if older => {}
             _ if older => return false,
             _ => {}
@@ -263,17 +266,17 @@
     }
 
     fn random_timeout(&mut self) -> duration::Span {
-        let least = self.timing.election_min.0;
-        let most = self.timing.election_max.0;
-        duration::Span(self.rng.random_range(least..=most))
+        let min = self.timing.election_min.0;
+        let max = self.timing.election_max.0;
+        duration::Span(self.rng.random_range(min..=max))
     }
 
     fn postpone_election(&mut self, now: duration::Instant) {
         let timeout = self.random_timeout();
-        self.deadline = now.after(timeout);
+        self.election_deadline = now.after(timeout);
     }
 
-    fn set_hard(&mut self, term: number::Term, vote: Option<replica::Id>) {
+    fn set_hard_state(&mut self, term: number::Term, vote: Option<replica::Id>) {
         self.hard = hard::State { term, vote };
         self.dirty.hard = true;
     }
--- a/crates/cranberrygap-agreement/src/node/follower.rs
+++ b/crates/cranberrygap-agreement/src/node/follower.rs
@@ -1,16 +1,16 @@
-//! What a follower does with entries and snapshots.
+//! Handling of entries and snapshots at a follower.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use cranberrygap_model::{duration, number};
 
-use super::{Incoming, Node};
+use super::{IncomingSnapshot, Node};
 use crate::{entry, log, members, message, output, position, replica, snapshot};
 
-/// A part of a snapshot from the leader.
+/// A chunk of a snapshot from the leader.
 #[derive(Debug)]
-pub(super) struct Part {
+pub(super) struct Chunk {
     pub(super) position: position::Position,
     pub(super) members: members::Members,
     pub(super) offset: u64,
@@ -19,7 +19,7 @@
 }
 
 impl Node {
-    pub(super) fn append(
+    pub(super) fn handle_append(
         &mut self,
         now: duration::Instant,
         from: replica::Id,
@@ -28,14 +28,14 @@
         committed: number::Index,
         sent: duration::Instant,
     ) {
-        self.follow(now, from);
+        self.follow_leader(now, from);
         if previous.index < self.committed {
             let matched = self.committed;
             self.send_durable(from, message::Body::Appended { matched, sent });
             return;
         }
         if self.log.position(previous.index) != Some(previous) {
-            let hint = self.hint(previous.index);
+            let hint = self.agreement_hint(previous.index);
             let previous = previous.index;
             let body = message::Body::Rejected {
                 previous,
@@ -46,26 +46,26 @@
             return;
         }
         let matched = number::Index(previous.index.0 + entries.len() as u64);
-        self.take(entries);
+        self.append_entries(entries);
         self.committed = self.committed.max(committed.min(matched));
         self.send_durable(from, message::Body::Appended { matched, sent });
     }
 
-    fn follow(&mut self, now: duration::Instant, from: replica::Id) {
+    fn follow_leader(&mut self, now: duration::Instant, from: replica::Id) {
         self.become_follower(now, self.hard.term, Some(from));
-        // Whom this replica follows stays known over a restart: its promise is to
-        // that leader and to no one else. The leader was elected, so the vote that
-        // this replaces decides nothing any more.
+        // Stores which leader this replica follows, because after a restart it must
+        // keep its promise to that leader and to nobody else. The stored vote may be
+        // replaced: the leader is elected, so the vote decides nothing any more.
         if self.hard.vote != Some(from) {
-            self.set_hard(self.hard.term, Some(from));
+            self.set_hard_state(self.hard.term, Some(from));
         }
-        self.returns = None;
-        self.heard = Some(now);
+        self.rapid_pre_votes_until = None;
+        self.heard_leader_at = Some(now);
         self.postpone_election(now);
     }
 
-    /// Highest index at which this log may agree with one that differs at `at`.
-    fn hint(&self, at: number::Index) -> number::Index {
+    /// Returns the highest index at which this log may agree with one that differs at `at`.
+    fn agreement_hint(&self, at: number::Index) -> number::Index {
         let last = self.log.last().index;
         if last < at {
             return last;
@@ -73,8 +73,8 @@
         let Some(found) = self.log.position(at) else {
             return self.committed;
         };
-        // All entries of the conflicting term are skipped at once, so that a
-        // follower with a long wrong tail needs one round for each term.
+        // Skips all entries of the conflicting term at once, so that a follower with
+        // a long conflicting tail needs one round trip per term.
         let mut index = at;
         while index > self.committed {
             let before = number::Index(index.0 - 1);
@@ -87,7 +87,7 @@
         index
     }
 
-    fn take(&mut self, entries: Vec<entry::Entry>) {
+    fn append_entries(&mut self, entries: Vec<entry::Entry>) {
         for entry in entries {
             let index = entry.position.index;
             if self.log.position(index) == Some(entry.position) {
@@ -97,44 +97,46 @@
                 self.truncate(index);
             }
             self.log.append(entry);
-            self.mark_entries(index);
+            self.mark_entries_dirty(index);
         }
     }
 
-    pub(super) fn chunk(
+    pub(super) fn handle_chunk(
         &mut self,
         now: duration::Instant,
         from: replica::Id,
-        part: Part,
+        chunk: Chunk,
         sent: duration::Instant,
     ) {
-        self.follow(now, from);
-        let position = part.position;
+        self.follow_leader(now, from);
+        let position = chunk.position;
         if position.index <= self.committed {
             let matched = self.committed;
             self.send_durable(from, message::Body::Appended { matched, sent });
             return;
         }
-        if part.total > self.limits.snapshot_bytes as u64 {
+        if chunk.total > self.limits.snapshot_bytes as u64 {
             return;
         }
-        let held = self.collect(part);
+        let held = self.collect_chunk(chunk);
         let body = message::Body::Chunked {
             position,
             held,
             sent,
         };
-        // The answer is a promise to the leader, so whom it was made to is durable
-        // first.
+        // The reply is a promise to the leader, so the vote that names the leader
+        // must be durable first.
         self.send_durable(from, body);
     }
 
-    /// Adds a part and gives the number of bytes held; installs a whole one.
-    fn collect(&mut self, part: Part) -> u64 {
-        let known = self.incoming.as_ref().map(|found| found.position);
-        if known != Some(part.position) {
-            self.incoming = Some(Incoming {
-                position: part.position,
+    /// Appends a chunk and returns the number of bytes held.
+    ///
+    /// Installs the snapshot once it is complete.
+    fn collect_chunk(&mut self, chunk: Chunk) -> u64 {
+        let known_position = self.incoming.as_ref().map(|found| found.position);
+        if known_position != Some(chunk.position) {
+            self.incoming = Some(IncomingSnapshot {
+                position: chunk.position,
                 data: Vec::new(),
             });
         }
@@ -142,32 +144,32 @@
             return 0;
         };
         let held = incoming.data.len() as u64;
-        if part.offset == held {
-            incoming.data.extend_from_slice(&part.data);
+        if chunk.offset == held {
+            incoming.data.extend_from_slice(&chunk.data);
         }
         let held = incoming.data.len() as u64;
-        if held == part.total {
+        if held == chunk.total {
             let data = Bytes::from(std::mem::take(&mut incoming.data));
             self.incoming = None;
-            self.install(snapshot::Snapshot {
-                position: part.position,
-                members: part.members,
+            self.install_snapshot(snapshot::Snapshot {
+                position: chunk.position,
+                members: chunk.members,
                 data,
             });
         }
         held
     }
 
-    fn install(&mut self, snapshot: snapshot::Snapshot) {
+    fn install_snapshot(&mut self, snapshot: snapshot::Snapshot) {
         let position = snapshot.position;
-        let agrees = self.log.position(position.index) == Some(position);
+        let log_matches = self.log.position(position.index) == Some(position);
         let snapshot = Arc::new(snapshot);
-        if agrees {
+        if log_matches {
             self.log.compact(position.index);
         } else {
-            // The entries that were being written are gone with the log; their
-            // tickets must not count for entries that come after the snapshot.
-            for (_, last) in &mut self.writing {
+            // The entries that were being written are gone with the log; their tickets
+            // must not mark entries after the snapshot as durable.
+            for (_, last) in &mut self.pending_writes {
                 *last = number::Index(0);
             }
             self.log = log::Log::new(position, snapshot.members.clone());
@@ -182,10 +184,10 @@
         self.outputs.push(output::Output::Restore(snapshot));
     }
 
-    /// Takes the state machine's bytes as the new snapshot and shortens the log.
-    pub(super) fn compact(&mut self, index: number::Index, data: Bytes) {
-        let known = index > self.snapshot_position().index && index <= self.applied;
-        let Some(position) = self.log.position(index).filter(|_| known) else {
+    /// Adopts the state machine's bytes as the new snapshot and shortens the log.
+    pub(super) fn compact_log(&mut self, index: number::Index, data: Bytes) {
+        let is_known = index > self.snapshot_position().index && index <= self.applied;
+        let Some(position) = self.log.position(index).filter(|_| is_known) else {
             return;
         };
         let snapshot = Arc::new(snapshot::Snapshot {
@@ -196,14 +198,14 @@
         self.snapshot = Some(Arc::clone(&snapshot));
         self.dirty.snapshot = Some(snapshot);
         let keep = index.0.saturating_sub(self.limits.trailing_entries);
-        let keep = self.within_bytes(number::Index(keep), index);
+        let keep = self.trailing_start(number::Index(keep), index);
         if keep > self.log.base().index {
             self.log.compact(keep);
         }
     }
 
-    /// The index after which the entries up to `last` fit into what may be kept.
-    fn within_bytes(&self, first: number::Index, last: number::Index) -> number::Index {
+    /// Returns the index after which the entries up to `last` fit into `trailing_bytes`.
+    fn trailing_start(&self, first: number::Index, last: number::Index) -> number::Index {
         let mut size = 0;
         let kept = self.log.slice(first.next(), last).iter().rev();
         let fitting = kept.take_while(|entry| {
--- a/crates/cranberrygap-agreement/src/node/leader.rs
+++ b/crates/cranberrygap-agreement/src/node/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: proposals, replication, commit.
+//! Duties of the leader: proposals, replies of followers, and commit.
 
 use std::collections::VecDeque;
 
@@ -10,36 +10,36 @@
 
 impl Node {
     pub(super) fn tick_leader(&mut self, now: duration::Instant) {
-        if self.without_quorum(now) {
+        if self.lost_quorum(now) {
             self.become_follower(now, self.hard.term, None);
             return;
         }
-        self.tick_transfer(now);
+        self.check_transfer_timeout(now);
         let role::Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if now < leader.beat {
+        if now < leader.next_heartbeat {
             return;
         }
-        leader.beat = now.after(self.timing.heartbeat);
+        leader.next_heartbeat = now.after(self.timing.heartbeat);
         for progress in leader.progress.values_mut() {
-            progress.retry();
+            progress.allow_resend();
         }
         for follower in self.followers() {
-            self.heartbeat(now, follower);
+            self.send_heartbeat(now, follower);
         }
     }
 
-    /// Whether no quorum has answered for the longest election timeout.
+    /// Returns whether no quorum has answered for the longest election timeout.
     ///
-    /// A leader behind a connection that swallows everything would go on
-    /// believing in its office, and callers would wait for changes that never
-    /// commit. Stepping down lets them be refused at once.
-    fn without_quorum(&self, now: duration::Instant) -> bool {
+    /// A leader whose connections silently drop everything would otherwise stay
+    /// leader, and callers would wait for changes that never commit. Once it steps
+    /// down, they are refused at once.
+    fn lost_quorum(&self, now: duration::Instant) -> bool {
         let role::Role::Leader(leader) = &self.role else {
             return false;
         };
-        let since = self.contact().max(Some(leader.elected));
+        let since = self.quorum_contact().max(Some(leader.elected_at));
         since.is_some_and(|since| now >= since.after(self.timing.election_max))
     }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn appended(
+    pub(super) fn handle_appended(
         &mut self,
         now: duration::Instant,
         from: replica::Id,
@@ -60,15 +60,15 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.acknowledge(sent);
-        progress.accept(matched);
+        progress.record_reply(sent);
+        progress.advance_match(matched);
         self.advance_commit(now);
         self.advance_transfer(now);
         self.replicate(now, from);
-        self.tell_commit(now);
+        self.send_commit_index(now);
     }
 
-    pub(super) fn rejected(
+    pub(super) fn handle_rejected(
         &mut self,
         now: duration::Instant,
         from: replica::Id,
@@ -79,12 +79,12 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.acknowledge(sent);
-        progress.reject(previous, hint);
+        progress.record_reply(sent);
+        progress.step_back(previous, hint);
         self.replicate(now, from);
     }
 
-    pub(super) fn chunked(
+    pub(super) fn handle_chunked(
         &mut self,
         now: duration::Instant,
         from: replica::Id,
@@ -95,11 +95,11 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.acknowledge(sent);
+        progress.record_reply(sent);
         let progress::Mode::Snapshot {
             snapshot,
-            held: known,
-            waiting,
+            held: known_held,
+            awaiting_reply,
         } = &mut progress.mode
         else {
             return;
@@ -108,17 +108,17 @@
             return;
         }
         if held >= snapshot.data.len() as u64 {
-            progress.accept(position.index);
-        } else if held != *known || *waiting {
-            *known = held;
-            *waiting = false;
+            progress.advance_match(position.index);
+        } else if held != *known_held || *awaiting_reply {
+            *known_held = held;
+            *awaiting_reply = false;
         }
         self.advance_commit(now);
         self.replicate(now, from);
     }
 
     pub(super) fn propose(&mut self, now: duration::Instant, payloads: Vec<Bytes>) {
-        if let Err(refusal) = self.admit(&payloads) {
+        if let Err(refusal) = self.check_proposals(&payloads) {
             self.outputs.push(output::Output::Refused(refusal));
             return;
         }
@@ -127,27 +127,27 @@
             index: self.log.last().index.next(),
         };
         for payload in payloads {
-            self.append_own(entry::Payload::Data(payload));
+            self.append_to_own_log(entry::Payload::Data(payload));
         }
         self.outputs.push(output::Output::Accepted(first));
         self.replicate_all(now);
     }
 
-    fn admit(&self, payloads: &[Bytes]) -> Result<(), output::Refusal> {
-        let leader = self.office()?;
+    fn check_proposals(&self, payloads: &[Bytes]) -> Result<(), output::Refusal> {
+        let leader = self.active_leader()?;
         let limit = self.limits.proposal_bytes;
         if payloads.iter().any(|payload| payload.len() > limit) {
             return Err(output::Refusal::TooLarge { limit });
         }
         let size: usize = payloads.iter().map(Bytes::len).sum();
-        if leader.uncommitted + size > self.limits.uncommitted_bytes {
+        if leader.uncommitted_bytes + size > self.limits.uncommitted_bytes {
             return Err(output::Refusal::Full);
         }
         Ok(())
     }
 
-    /// The office, if this node leads and is not handing over.
-    pub(super) fn office(&self) -> Result<&role::Leader, output::Refusal> {
+    /// Returns the leader's state, if this node leads and is not handing leadership over.
+    pub(super) fn active_leader(&self) -> Result<&role::Leader, output::Refusal> {
         let role::Role::Leader(leader) = &self.role else {
             let leader = self.leader;
             return Err(output::Refusal::NotLeader { leader });
@@ -158,24 +158,24 @@
         Ok(leader)
     }
 
-    pub(super) fn append_own(&mut self, payload: entry::Payload) {
+    pub(super) fn append_to_own_log(&mut self, payload: entry::Payload) {
         let position = position::Position {
             term: self.hard.term,
             index: self.log.last().index.next(),
         };
         let entry = entry::Entry { position, payload };
         if let role::Role::Leader(leader) = &mut self.role {
-            leader.uncommitted += entry.size();
+            leader.uncommitted_bytes += entry.size();
         }
         self.log.append(entry);
-        self.mark_entries(position.index);
+        self.mark_entries_dirty(position.index);
     }
 
     /// Commits what a quorum holds, if it ends with an entry of this term.
     ///
-    /// An entry of an earlier term on a quorum can still be replaced by a leader
-    /// that lacks it; an accepted change would be gone. Counting only entries of
-    /// the own term prevents it.
+    /// A leader that lacks an entry of an earlier term can still replace it, even if
+    /// a quorum holds it; an accepted change would be lost. Counting only entries of
+    /// the current term prevents that.
     pub(super) fn advance_commit(&mut self, now: duration::Instant) {
         let role::Role::Leader(leader) = &self.role else {
             return;
@@ -190,23 +190,23 @@
                 .unwrap_or_default()
         });
         let reached = reached.unwrap_or_default();
-        let own_term = |found: position::Position| found.term == self.hard.term;
-        if reached <= self.committed || !self.log.position(reached).is_some_and(own_term) {
+        let is_own_term = |found: position::Position| found.term == self.hard.term;
+        if reached <= self.committed || !self.log.position(reached).is_some_and(is_own_term) {
             return;
         }
-        let settled = self.log.slice(self.committed.next(), reached);
-        let size: usize = settled.iter().map(entry::Entry::size).sum();
+        let newly_committed = self.log.slice(self.committed.next(), reached);
+        let size: usize = newly_committed.iter().map(entry::Entry::size).sum();
         self.committed = reached;
         if let role::Role::Leader(leader) = &mut self.role {
-            leader.uncommitted = leader.uncommitted.saturating_sub(size);
+            leader.uncommitted_bytes = leader.uncommitted_bytes.saturating_sub(size);
         }
-        self.leave_if_removed(now);
+        self.step_down_if_removed(now);
     }
 
-    /// A leader that took itself out steps down once that is committed.
-    fn leave_if_removed(&mut self, now: duration::Instant) {
-        let settled = self.log.members_index() <= self.committed;
-        if settled && !self.members().is_voter(self.id) {
+    /// Makes a leader that removed itself step down once its removal is committed.
+    fn step_down_if_removed(&mut self, now: duration::Instant) {
+        let membership_committed = self.log.members_index() <= self.committed;
+        if membership_committed && !self.members().is_voter(self.id) {
             self.become_follower(now, self.hard.term, None);
         }
     }
@@ -225,15 +225,15 @@
         }
     }
 
-    /// Begins to send to a new member.
-    pub(super) fn meet(&mut self, id: replica::Id) {
+    /// Starts to replicate to a new member.
+    pub(super) fn start_replication(&mut self, id: replica::Id) {
         let last = self.log.last().index;
         if let role::Role::Leader(leader) = &mut self.role {
             let progress = progress::Progress {
                 mode: progress::Mode::Replicate {
-                    flying: VecDeque::new(),
+                    in_flight: VecDeque::new(),
                 },
-                ..progress::Progress::unknown(last)
+                ..progress::Progress::starting_after(last)
             };
             leader.progress.insert(id, progress);
         }
--- a/crates/cranberrygap-agreement/src/node/lease.rs
+++ b/crates/cranberrygap-agreement/src/node/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease and the voters' promise behind it.
+//! The leader's lease, and the voters' promise that it rests on.
 
 use cranberrygap_model::duration;
 
@@ -6,7 +6,7 @@
 use crate::{message, role};
 
 impl Node {
-    /// Whether this node leads, may answer reads and may grant at `now`.
+    /// Returns whether this node leads, may answer reads and may grant leases at `now`.
     ///
     /// True only while its lease runs and an entry of its own term is applied.
     #[must_use]
@@ -14,29 +14,30 @@
         let role::Role::Leader(leader) = &self.role else {
             return false;
         };
-        let settled = self.applied >= leader.first;
-        settled && self.lease_end().is_some_and(|end| now < end)
+        let own_entry_applied = self.applied >= leader.first_index;
+        own_entry_applied && self.lease_end().is_some_and(|end| now < end)
     }
 
-    /// When the leader's lease ends, if this node leads and has one.
+    /// Returns when the leader's lease ends, if this node leads and has one.
     #[must_use]
     pub fn lease_end(&self) -> Option<duration::Instant> {
         let role::Role::Leader(leader) = &self.role else {
             return None;
         };
-        // The message that asks another voter to take over may arrive late and
-        // makes voters forget their promise. One would see two leaders that
-        // both grant. So there is no lease any more in this term.
-        if leader.transfer.is_some_and(|transfer| transfer.asked) {
+        // The message that asks another voter to take over may arrive late and makes
+        // voters ignore their promise. Two leaders could then grant at once, so this
+        // term has no lease from here on.
+        if leader.transfer.is_some_and(|transfer| transfer.requested) {
             return None;
         }
-        // Counted from the sending: the voters' promise began when they
-        // received the message, which was later.
-        self.contact().map(|sent| sent.after(self.timing.lease))
+        // Counted from the sending: the voters' promise began when they received the
+        // message, which was later.
+        self.quorum_contact()
+            .map(|sent| sent.after(self.timing.lease))
     }
 
-    /// Latest time of sending that a quorum has answered.
-    pub(super) fn contact(&self) -> Option<duration::Instant> {
+    /// Returns the latest time of sending that a quorum has answered.
+    pub(super) fn quorum_contact(&self) -> Option<duration::Instant> {
         let role::Role::Leader(leader) = &self.role else {
             return None;
         };
@@ -50,25 +51,29 @@
         contact.flatten()
     }
 
-    /// Whether this node has promised not to vote against a leader.
-    pub(super) fn protected(&self, now: duration::Instant) -> bool {
+    /// Returns whether this node still keeps its promise not to vote against a leader.
+    pub(super) fn promise_holds(&self, now: duration::Instant) -> bool {
         let since = match &self.role {
-            role::Role::Leader(leader) => self.contact().max(Some(leader.elected)),
-            _ => self.heard,
+            role::Role::Leader(leader) => self.quorum_contact().max(Some(leader.elected_at)),
+            _ => self.heard_leader_at,
         };
         since.is_some_and(|since| now < since.after(self.timing.election_min))
     }
 
-    /// Whether this node's promise to a leader forbids it to vote for the sender.
+    /// Returns whether the promise to a leader forbids this node to vote for the sender.
     ///
-    /// After a power loss of all instances every voter would wait out a promise to
-    /// a leader that has lost its lease with its memory: one would see the whole
-    /// fleet without a leader for most of a second more. The durable vote names the
-    /// only replica to which a promise of this term can have been made. A request
-    /// for a vote by that same replica, in this term or a later one, shows that it
-    /// leads no more, so nobody's lease is left to protect.
-    pub(super) fn loyal(&self, now: duration::Instant, request: &message::Message) -> bool {
+    /// After a power loss of all instances every voter would otherwise wait out its
+    /// promise to a leader that lost its lease with its memory, and the fleet would
+    /// have no leader for most of a second longer. The durable vote names the only
+    /// replica to which a promise of this term can have been made. If that replica
+    /// itself requests a vote, in this term or a later one, it does not lead any
+    /// more, so there is no lease left to protect.
+    pub(super) fn withholds_vote(
+        &self,
+        now: duration::Instant,
+        request: &message::Message,
+    ) -> bool {
         let released = self.hard.vote == Some(request.from) && request.term >= self.hard.term;
-        !released && self.protected(now)
+        !released && self.promise_holds(now)
     }
 }
--- a/crates/cranberrygap-agreement/src/node/change.rs
+++ b/crates/cranberrygap-agreement/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership.
+//! Membership changes that the leader makes.
 
 use cranberrygap_model::duration;
 
@@ -6,27 +6,27 @@
 use crate::{change, entry, member, members, output, position, progress, replica, role};
 
 impl Node {
-    pub(super) fn change(&mut self, now: duration::Instant, change: change::Change) {
-        match self.changed(now, change) {
-            Ok(members) => self.adopt_members(now, members),
+    pub(super) fn change_members(&mut self, now: duration::Instant, change: change::Change) {
+        match self.membership_after(now, change) {
+            Ok(members) => self.append_members(now, members),
             Err(refusal) => self.outputs.push(output::Output::Refused(refusal)),
         }
     }
 
-    /// The membership after `change`, if it is allowed now.
-    fn changed(
+    /// Returns the membership after `change`, if the change is allowed now.
+    fn membership_after(
         &self,
         now: duration::Instant,
         change: change::Change,
     ) -> Result<members::Members, output::Refusal> {
-        let leader = self.office()?;
-        // Majorities of two memberships overlap only if they differ by one
-        // voter. With two open changes, or one inherited from a leader that
-        // could not commit it, two leaders could be elected in one term.
+        let leader = self.active_leader()?;
+        // Majorities of two memberships are sure to overlap only if the memberships
+        // differ by one voter. With two open changes, or one inherited from a leader
+        // that could not commit it, two leaders could be elected in one term.
         if self.log.members_index() > self.committed {
             return Err(output::Refusal::ChangePending);
         }
-        if self.committed < leader.first {
+        if self.committed < leader.first_index {
             return Err(output::Refusal::TermPending);
         }
         let mut members = self.members().clone();
@@ -48,44 +48,45 @@
                 removed.ok_or(output::Refusal::NoSuchMember)?;
             }
         }
-        let most = self.limits.max_voters;
-        if !(1..=most).contains(&members.voters().count()) {
-            return Err(output::Refusal::VoterCount { most });
+        let max = self.limits.max_voters;
+        if !(1..=max).contains(&members.voters().count()) {
+            return Err(output::Refusal::VoterCount { max });
         }
         self.check_quorum_answers(now, &members)?;
         Ok(members)
     }
 
-    /// Whether a quorum of the new membership answers at present.
+    /// Checks that a quorum of the new membership answers at present.
     ///
-    /// A membership is in force as soon as it is in a log. If an operator takes
-    /// a live voter out while another one is dead, the change may never commit,
-    /// and the voter with the longest log can neither win nor let another win:
-    /// the group stays without a leader for good.
+    /// A membership is in force as soon as it is in a log. If an operator removes a
+    /// live voter while another one is dead, the change may never commit, and the
+    /// voter with the longest log can neither win an election nor let another voter
+    /// win: the group has no leader for good.
     fn check_quorum_answers(
         &self,
         now: duration::Instant,
         members: &members::Members,
     ) -> Result<(), output::Refusal> {
-        let answers = |voter: &replica::Id| *voter == self.id || self.answers(now, *voter);
-        let answering = members.voters().filter(answers).count();
+        let is_answering =
+            |voter: &replica::Id| *voter == self.id || self.has_recent_answer(now, *voter);
+        let answering = members.voters().filter(is_answering).count();
         if answering < members.quorum() {
             return Err(output::Refusal::QuorumAtRisk);
         }
         Ok(())
     }
 
-    /// Whether a member answered within the longest election timeout.
-    fn answers(&self, now: duration::Instant, id: replica::Id) -> bool {
+    /// Returns whether a member answered within the longest election timeout.
+    fn has_recent_answer(&self, now: duration::Instant, id: replica::Id) -> bool {
         let progress = self.progress_of(id);
         let acknowledged = progress.and_then(|progress| progress.acknowledged);
         acknowledged.is_some_and(|sent| now < sent.after(self.timing.election_max))
     }
 
-    /// Whether a learner holds nearly the whole log and answers.
+    /// Checks that a learner holds nearly the whole log and answers.
     ///
-    /// A voter with an empty log counts in the quorum but cannot acknowledge.
-    /// With one more failure nothing would commit until it has caught up.
+    /// A voter with an empty log counts in the quorum but cannot acknowledge
+    /// entries. With one more failure nothing would commit until it has caught up.
     fn check_caught_up(
         &self,
         now: duration::Instant,
@@ -94,25 +95,26 @@
         let Some(progress) = self.progress_of(id) else {
             return Err(output::Refusal::NoSuchMember);
         };
-        let near = progress.matched.0 + self.limits.learner_lag >= self.log.last().index.0;
-        let flows = matches!(progress.mode, progress::Mode::Replicate { .. });
-        if near && flows && self.answers(now, id) {
+        let nearly_current =
+            progress.matched.0 + self.limits.learner_lag >= self.log.last().index.0;
+        let is_replicating = matches!(progress.mode, progress::Mode::Replicate { .. });
+        if nearly_current && is_replicating && self.has_recent_answer(now, id) {
             return Ok(());
         }
         Err(output::Refusal::LearnerLags)
     }
 
-    fn adopt_members(&mut self, now: duration::Instant, members: members::Members) {
+    fn append_members(&mut self, now: duration::Instant, members: members::Members) {
         let position = position::Position {
             term: self.hard.term,
             index: self.log.last().index.next(),
         };
         let ids: Vec<replica::Id> = members.0.keys().copied().collect();
-        self.append_own(entry::Payload::Members(members));
+        self.append_to_own_log(entry::Payload::Members(members));
         self.outputs.push(output::Output::Accepted(position));
         for id in &ids {
             if *id != self.id && self.progress_of(*id).is_none() {
-                self.meet(*id);
+                self.start_replication(*id);
             }
         }
         if let role::Role::Leader(leader) = &mut self.role {
--- a/crates/cranberrygap-agreement/src/node/writing.rs
+++ b/crates/cranberrygap-agreement/src/node/persistence.rs
@@ -1,4 +1,4 @@
-//! What becomes durable, what is applied after it, and what is sent.
+//! Durable writes, and the applying and sending that wait for them.
 
 use cranberrygap_model::{duration, number};
 
@@ -6,70 +6,71 @@
 use crate::{entry, message, output, replica, write};
 
 impl Node {
-    pub(super) fn written(&mut self, now: duration::Instant, ticket: u64) {
-        while let Some((done, last)) = self.writing.front().copied() {
-            if done > ticket {
+    pub(super) fn complete_writes(&mut self, now: duration::Instant, ticket: u64) {
+        while let Some((pending_ticket, last)) = self.pending_writes.front().copied() {
+            if pending_ticket > ticket {
                 break;
             }
-            self.writing.pop_front();
+            self.pending_writes.pop_front();
             self.durable = self.durable.max(last);
         }
-        self.own_vote(now, ticket);
+        self.count_own_vote(now, ticket);
         self.advance_commit(now);
-        self.tell_commit(now);
+        self.send_commit_index(now);
     }
 
-    /// Drops entries from `first` on, in the log and from what is being written.
+    /// Removes entries from `first` on, from the log and from pending writes.
     pub(super) fn truncate(&mut self, first: number::Index) {
         assert!(first > self.committed, "committed entries stay");
         self.log.truncate(first);
         let last = self.log.last().index;
         self.durable = self.durable.min(last);
-        for (_, written) in &mut self.writing {
-            *written = (*written).min(last);
+        for (_, last_written) in &mut self.pending_writes {
+            *last_written = (*last_written).min(last);
         }
-        self.mark_entries(first);
+        self.mark_entries_dirty(first);
     }
 
-    pub(super) fn mark_entries(&mut self, first: number::Index) {
+    pub(super) fn mark_entries_dirty(&mut self, first: number::Index) {
         let earliest = self.dirty.entries.map_or(first, |found| found.min(first));
         self.dirty.entries = Some(earliest);
     }
 
-    /// Hands out committed entries, a bounded part in one step.
+    /// Hands out committed entries for applying, a limited part in each step.
     ///
-    /// A replica that starts with a long log learns only from its leader, or as the
-    /// leader, that all of it is committed. Applied in one go it would keep the protocol
-    /// from heartbeats for longer than an election: one would see each new leader replaced
-    /// before it says a word, and nobody served. The rest is due at once, see
-    /// [`Node::deadline`], between whatever else arrives.
+    /// A replica that restarts with a long log learns all at once that it is committed, from
+    /// its leader or as the leader. Applying all of it in one step would keep it from sending
+    /// heartbeats for longer than an election: one new leader after another would be replaced
+    /// before its first heartbeat, and no requests would be served. The rest is due at once,
+    /// see [`Node::deadline`], between other inputs.
     pub(super) fn apply(&mut self) {
-        let until = self.applicable();
+        let until = self.last_applicable();
         if until <= self.applied {
             return;
         }
-        let entries = self.bounded(self.applied.next(), until, self.limits.apply_bytes);
+        let entries =
+            self.entries_within_limit(self.applied.next(), until, self.limits.apply_bytes);
         self.applied = number::Index(self.applied.0 + entries.len() as u64);
         self.outputs.push(output::Output::Apply(entries));
     }
 
-    /// Last index that may be applied: committed, and durable here.
-    pub(super) fn applicable(&self) -> number::Index {
+    /// Returns the last index that may be applied: committed, and durable here.
+    pub(super) fn last_applicable(&self) -> number::Index {
         self.committed.min(self.durable)
     }
 
-    /// Entries from `first` on, at most up to `last` and `most` bytes, but at least one.
-    pub(super) fn bounded(
+    /// Returns the entries from `first` up to `last` that fit into `max_bytes`, but at least one.
+    pub(super) fn entries_within_limit(
         &self,
         first: number::Index,
         last: number::Index,
-        most: usize,
+        max_bytes: usize,
     ) -> Vec<entry::Entry> {
         let mut size = 0;
         let mut entries = Vec::new();
         for entry in self.log.slice(first, last) {
             size += entry.size();
-            if size > most && !entries.is_empty() {
+            if size > max_bytes && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
@@ -92,38 +93,39 @@
         self.outputs.push(output::Output::Send(message));
     }
 
-    /// Sends once everything so far is durable.
+    /// Sends a message once all changes so far are durable.
     pub(super) fn send_durable(&mut self, to: replica::Id, body: message::Body) {
         let message = self.message(to, body);
-        self.dirty.then.push(message);
+        self.dirty.send_after.push(message);
     }
 
-    /// Hands out what this step changed as one write.
-    pub(super) fn flush(&mut self) {
+    /// Hands out the changes of this step as one write.
+    pub(super) fn flush_writes(&mut self) {
         let dirty = std::mem::take(&mut self.dirty);
         let entries = match dirty.entries {
             Some(first) => self.log.slice(first, self.log.last().index).to_vec(),
             None => Vec::new(),
         };
-        let changed = dirty.hard || dirty.snapshot.is_some() || dirty.entries.is_some();
-        if !changed && self.writing.is_empty() {
-            let sends = dirty.then.into_iter().map(output::Output::Send);
+        let has_changes = dirty.hard || dirty.snapshot.is_some() || dirty.entries.is_some();
+        if !has_changes && self.pending_writes.is_empty() {
+            let sends = dirty.send_after.into_iter().map(output::Output::Send);
             self.outputs.extend(sends);
             return;
         }
-        if !changed && dirty.then.is_empty() {
+        if !has_changes && dirty.send_after.is_empty() {
             return;
         }
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.writing.push_back((ticket, self.log.last().index));
+        self.pending_writes
+            .push_back((ticket, self.log.last().index));
         self.outputs.push(output::Output::Write(write::Write {
             ticket,
             hard: dirty.hard.then_some(self.hard),
             snapshot: dirty.snapshot,
             reset: dirty.reset,
             entries,
-            send_after: dirty.then,
+            send_after: dirty.send_after,
         }));
     }
 }
--- a/crates/cranberrygap-agreement/src/node/sending.rs
+++ b/crates/cranberrygap-agreement/src/node/replication.rs
@@ -1,14 +1,17 @@
-//! What a leader sends to its followers: entries, heartbeats, snapshots.
+//! Replication to followers: entries, heartbeats and snapshots.
 
 use cranberrygap_model::{duration, number};
 
 use super::Node;
 use crate::{entry, message, position, progress, replica};
 
-/// What is sent to one follower next.
-enum Next {
+/// Next thing to send to one follower.
+enum Action {
     Nothing,
-    Entries { first: number::Index, flying: bool },
+    Entries {
+        first: number::Index,
+        pipelined: bool,
+    },
     Snapshot,
 }
 
@@ -19,94 +22,94 @@
         }
     }
 
-    /// Sends something in any case, so that the follower knows its leader.
-    pub(super) fn heartbeat(&mut self, now: duration::Instant, to: replica::Id) {
+    /// Sends entries or, without any, an empty append, so that the follower knows its leader.
+    pub(super) fn send_heartbeat(&mut self, now: duration::Instant, to: replica::Id) {
         if self.replicate(now, to) {
             return;
         }
         let Some(next) = self.progress_of(to).map(|progress| progress.next) else {
             return;
         };
-        let before = number::Index(next.0 - 1);
-        let Some(previous) = self.log.position(before) else {
+        let previous_index = number::Index(next.0 - 1);
+        let Some(previous) = self.log.position(previous_index) else {
             return;
         };
         self.send_append(now, to, previous, Vec::new());
     }
 
-    /// Tells followers of a commit that no entries are on their way to.
+    /// Sends the commit index to followers that have no entries in flight.
     ///
-    /// Followers serve views too. Left to the next heartbeat, a change would be
-    /// in force at their entries a good part of that time later.
-    pub(super) fn tell_commit(&mut self, now: duration::Instant) {
+    /// Followers serve views too. If they learned of a commit from the next heartbeat
+    /// only, their entries would apply a change a good part of that time later.
+    pub(super) fn send_commit_index(&mut self, now: duration::Instant) {
         let committed = self.committed;
         for follower in self.followers() {
             let progress = self.progress_of(follower);
-            if progress.is_some_and(|progress| progress.awaits_news(committed)) {
-                self.heartbeat(now, follower);
+            if progress.is_some_and(|progress| progress.lacks_commit_index(committed)) {
+                self.send_heartbeat(now, follower);
             }
         }
     }
 
-    /// Sends what the window allows; false if there was nothing to send.
+    /// Sends what the window allows; returns false if there was nothing to send.
     pub(super) fn replicate(&mut self, now: duration::Instant, to: replica::Id) -> bool {
         let mut sent = false;
         loop {
-            match self.next_for(to) {
-                Next::Nothing => return sent,
-                Next::Snapshot => {
+            match self.next_action(to) {
+                Action::Nothing => return sent,
+                Action::Snapshot => {
                     self.send_chunk(now, to);
                     return true;
                 }
-                Next::Entries { first, flying } => {
-                    self.send_entries(now, to, first, flying);
+                Action::Entries { first, pipelined } => {
+                    self.send_entries(now, to, first, pipelined);
                     sent = true;
                 }
             }
         }
     }
 
-    fn next_for(&mut self, to: replica::Id) -> Next {
+    fn next_action(&mut self, to: replica::Id) -> Action {
         let last = self.log.last().index;
         let base = self.log.base().index;
         let window = self.limits.window;
         let snapshot = self.snapshot.clone();
         let Some(progress) = self.progress_mut(to) else {
-            return Next::Nothing;
+            return Action::Nothing;
         };
         let compacted = progress.next <= base;
         if compacted && !matches!(progress.mode, progress::Mode::Snapshot { .. }) {
             let Some(snapshot) = snapshot else {
-                return Next::Nothing;
+                return Action::Nothing;
             };
             progress.mode = progress::Mode::Snapshot {
                 snapshot,
                 held: 0,
-                waiting: false,
+                awaiting_reply: false,
             };
         }
         let first = progress.next;
         match &mut progress.mode {
-            progress::Mode::Snapshot { waiting, .. } if *waiting => Next::Nothing,
-            progress::Mode::Snapshot { waiting, .. } => {
-                *waiting = true;
-                Next::Snapshot
+            progress::Mode::Snapshot { awaiting_reply, .. } if *awaiting_reply => Action::Nothing,
+            progress::Mode::Snapshot { awaiting_reply, .. } => {
+                *awaiting_reply = true;
+                Action::Snapshot
             }
-            progress::Mode::Probe { waiting } if *waiting => Next::Nothing,
-            progress::Mode::Probe { waiting } => {
-                *waiting = true;
-                Next::Entries {
+            progress::Mode::Probe { awaiting_reply } if *awaiting_reply => Action::Nothing,
+            progress::Mode::Probe { awaiting_reply } => {
+                *awaiting_reply = true;
+                Action::Entries {
                     first,
-                    flying: false,
+                    pipelined: false,
                 }
             }
-            progress::Mode::Replicate { flying } => {
-                if first > last || flying.len() >= window {
-                    return Next::Nothing;
+            progress::Mode::Replicate { in_flight } => {
+                if first > last || in_flight.len() >= window {
+                    return Action::Nothing;
                 }
-                Next::Entries {
+                Action::Entries {
                     first,
-                    flying: true,
+                    pipelined: true,
                 }
             }
         }
@@ -117,18 +120,19 @@
         now: duration::Instant,
         to: replica::Id,
         first: number::Index,
-        fly: bool,
+        pipelined: bool,
     ) {
-        let before = number::Index(first.0 - 1);
-        let Some(previous) = self.log.position(before) else {
+        let previous_index = number::Index(first.0 - 1);
+        let Some(previous) = self.log.position(previous_index) else {
             return;
         };
-        let entries = self.bounded(first, self.log.last().index, self.limits.message_bytes);
-        let last = number::Index(before.0 + entries.len() as u64);
+        let entries =
+            self.entries_within_limit(first, self.log.last().index, self.limits.message_bytes);
+        let last = number::Index(previous_index.0 + entries.len() as u64);
         if let Some(progress) = self.progress_mut(to)
-            && let (true, progress::Mode::Replicate { flying }) = (fly, &mut progress.mode)
+            && let (true, progress::Mode::Replicate { in_flight }) = (pipelined, &mut progress.mode)
         {
-            flying.push_back(last);
+            in_flight.push_back(last);
             progress.next = last.next();
         }
         self.send_append(now, to, previous, entries);
@@ -143,7 +147,7 @@
     ) {
         let committed = self.committed;
         if let Some(progress) = self.progress_mut(to) {
-            progress.told = committed;
+            progress.commit_sent = committed;
         }
         let body = message::Body::Append {
             previous,
--- a/crates/cranberrygap-agreement/src/node/transfer.rs
+++ b/crates/cranberrygap-agreement/src/node/transfer.rs
@@ -1,4 +1,4 @@
-//! Handing leadership over on a planned stop.
+//! Leadership transfer, for a planned stop.
 
 use cranberrygap_model::duration;
 
@@ -6,12 +6,12 @@
 use crate::{message, output, replica, role};
 
 impl Node {
-    pub(super) fn transfer(&mut self, now: duration::Instant, to: Option<replica::Id>) {
-        if let Err(refusal) = self.office() {
+    pub(super) fn begin_transfer(&mut self, now: duration::Instant, to: Option<replica::Id>) {
+        if let Err(refusal) = self.active_leader() {
             self.outputs.push(output::Output::Refused(refusal));
             return;
         }
-        let Some(to) = to.or_else(|| self.most_current()) else {
+        let Some(to) = to.or_else(|| self.most_caught_up_voter()) else {
             self.outputs
                 .push(output::Output::Refused(output::Refusal::NoSuchMember));
             return;
@@ -24,8 +24,8 @@
         if let role::Role::Leader(leader) = &mut self.role {
             leader.transfer = Some(role::Transfer {
                 to,
-                since: now,
-                asked: false,
+                started: now,
+                requested: false,
             });
         }
         let last = self.log.last();
@@ -33,8 +33,8 @@
         self.advance_transfer(now);
     }
 
-    /// The other voter that answered lately and holds most of the log.
-    fn most_current(&self) -> Option<replica::Id> {
+    /// Returns the other voter that answered recently and holds most of the log.
+    fn most_caught_up_voter(&self) -> Option<replica::Id> {
         let others = self.members().voters().filter(|voter| *voter != self.id);
         others.max_by_key(|voter| {
             let progress = self.progress_of(*voter);
@@ -51,37 +51,37 @@
         let Some(transfer) = &mut leader.transfer else {
             return;
         };
-        let held = leader.progress.get(&transfer.to);
-        let ready = held.is_some_and(|progress| progress.matched == last);
-        if transfer.asked || !ready {
+        let target_progress = leader.progress.get(&transfer.to);
+        let has_whole_log = target_progress.is_some_and(|progress| progress.matched == last);
+        if transfer.requested || !has_whole_log {
             return;
         }
-        transfer.asked = true;
+        transfer.requested = true;
         let to = transfer.to;
         self.send(to, message::Body::TakeOver);
     }
 
-    /// Ends a hand-over that takes longer than an election.
-    pub(super) fn tick_transfer(&mut self, now: duration::Instant) {
+    /// Ends a transfer that takes longer than an election.
+    pub(super) fn check_transfer_timeout(&mut self, now: duration::Instant) {
         let role::Role::Leader(leader) = &mut self.role else {
             return;
         };
         let Some(transfer) = leader.transfer else {
             return;
         };
-        if now < transfer.since.after(self.timing.election_max) {
+        if now < transfer.started.after(self.timing.election_max) {
             return;
         }
-        if transfer.asked {
+        if transfer.requested {
             self.become_follower(now, self.hard.term, None);
         } else {
             leader.transfer = None;
         }
     }
 
-    pub(super) fn take_over(&mut self, now: duration::Instant) {
+    pub(super) fn handle_take_over(&mut self, now: duration::Instant) {
         if self.members().is_voter(self.id) && !self.is_leader() {
-            self.campaign(now, true);
+            self.start_election(now, true);
         }
     }
 }
--- a/crates/cranberrygap-agreement/src/packet.rs
+++ b/crates/cranberrygap-agreement/src/packet.rs
@@ -1,4 +1,4 @@
-//! What replicas send each other: formation and protocol.
+//! Packets between replicas: formation and protocol.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,9 +7,9 @@
 /// One packet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Packet {
-    /// A replica without a group presents itself.
+    /// Sent by a replica that belongs to no group yet.
     Hello(formation::Hello),
-    /// A replica with a group answers.
+    /// Reply of a replica that belongs to a group.
     Formed(formation::Formed),
     /// A message of the protocol.
     Protocol(message::Message),
--- a/crates/cranberrygap-agreement/src/position.rs
+++ b/crates/cranberrygap-agreement/src/position.rs
@@ -1,9 +1,9 @@
-//! A place in the log.
+//! Positions in the log.
 
 use cranberrygap_model::number;
 use serde::{Deserialize, Serialize};
 
-/// Term and index of an entry; ordered as Raft compares logs.
+/// Term and index of an entry; ordered as Raft compares logs, by term first.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/cranberrygap-agreement/src/progress.rs
+++ b/crates/cranberrygap-agreement/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one follower.
+//! Replication progress of one follower, as the leader tracks it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,113 +7,123 @@
 
 use crate::snapshot;
 
-/// How entries are sent to the follower.
+/// Way in which entries are sent to the follower.
 #[derive(Debug, Clone)]
 pub enum Mode {
     /// One message at a time, until the end of the common log is found.
     Probe {
-        /// Whether a message is on its way.
-        waiting: bool,
+        /// Whether a message is in flight.
+        awaiting_reply: bool,
     },
-    /// Messages follow each other without waiting, up to the window.
+    /// Messages are pipelined, up to the window.
     Replicate {
-        /// Last index of each message on its way.
-        flying: VecDeque<number::Index>,
+        /// Last index of each message in flight.
+        in_flight: VecDeque<number::Index>,
     },
     /// A snapshot is being sent, one chunk at a time.
     Snapshot {
-        /// The snapshot.
+        /// Snapshot that is being sent.
         snapshot: Arc<snapshot::Snapshot>,
         /// Bytes that the follower holds.
         held: u64,
-        /// Whether a chunk is on its way.
-        waiting: bool,
+        /// Whether a chunk is in flight.
+        awaiting_reply: bool,
     },
 }
 
-/// What a leader knows of one follower.
+/// Replication progress of one follower.
 #[derive(Debug, Clone)]
 pub struct Progress {
-    /// Last index that is durable there and equal to the leader's.
+    /// Last index that is durable at the follower and equal to the leader's.
     pub matched: number::Index,
     /// Next index to send.
     pub next: number::Index,
-    /// Committed index that it was last told.
-    pub told: number::Index,
-    /// How entries are sent.
+    /// Commit index that was last sent to the follower.
+    pub commit_sent: number::Index,
+    /// Way in which entries are sent.
     pub mode: Mode,
-    /// Time at which the latest message that it answered was sent.
+    /// Time of sending of the latest message that the follower answered.
     pub acknowledged: Option<duration::Instant>,
 }
 
 impl Progress {
-    /// A follower of which nothing is known; sending begins after `last`.
+    /// Creates the progress of a follower about which nothing is known.
+    ///
+    /// Sending begins after `last`.
     #[must_use]
-    pub fn unknown(last: number::Index) -> Self {
+    pub fn starting_after(last: number::Index) -> Self {
         Self {
             matched: number::Index(0),
             next: last.next(),
-            told: number::Index(0),
-            mode: Mode::Probe { waiting: false },
+            commit_sent: number::Index(0),
+            mode: Mode::Probe {
+                awaiting_reply: false,
+            },
             acknowledged: None,
         }
     }
 
-    /// Takes over that the follower answered a message sent then.
-    pub fn acknowledge(&mut self, sent: duration::Instant) {
+    /// Records that the follower answered a message that was sent at `sent`.
+    pub fn record_reply(&mut self, sent: duration::Instant) {
         self.acknowledged = self.acknowledged.max(Some(sent));
     }
 
-    /// Entries up to `matched` are durable there.
-    pub fn accept(&mut self, matched: number::Index) {
+    /// Records that entries up to `matched` are durable at the follower.
+    pub fn advance_match(&mut self, matched: number::Index) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched.next());
         match &mut self.mode {
             Mode::Probe { .. } => {
                 self.next = self.matched.next();
                 self.mode = Mode::Replicate {
-                    flying: VecDeque::new(),
+                    in_flight: VecDeque::new(),
                 };
             }
-            Mode::Replicate { flying } => flying.retain(|last| *last > matched),
+            Mode::Replicate { in_flight } => in_flight.retain(|last| *last > matched),
             Mode::Snapshot { snapshot, .. } => {
                 if matched >= snapshot.position.index {
-                    self.mode = Mode::Probe { waiting: false };
+                    self.mode = Mode::Probe {
+                        awaiting_reply: false,
+                    };
                 }
             }
         }
     }
 
-    /// The follower lacks the entry at `previous`; it may agree up to `hint`.
-    pub fn reject(&mut self, previous: number::Index, hint: number::Index) {
+    /// Steps back after the follower rejected the position `previous`; it may agree up to `hint`.
+    pub fn step_back(&mut self, previous: number::Index, hint: number::Index) {
         let stale = match &self.mode {
             Mode::Probe { .. } => previous.next() != self.next,
             Mode::Replicate { .. } => previous <= self.matched,
             Mode::Snapshot { .. } => true,
         };
-        // A follower whose disk forgot what it acknowledged, or that was given an
-        // old copy of its folder, rejects what it once held. Sent again at once,
-        // the two would exchange messages as fast as the network carries them;
-        // so it is left to the next heartbeat.
+        // A follower whose disk lost acknowledged entries, or whose folder was restored
+        // from an old copy, rejects entries that it once held. Resending at once would
+        // make both exchange messages as fast as the network carries them, so the
+        // resend waits for the next heartbeat.
         if stale || hint < self.matched {
             return;
         }
-        let back = hint.next().min(previous);
-        self.next = back.max(self.matched.next());
-        self.mode = Mode::Probe { waiting: false };
+        let retry_from = hint.next().min(previous);
+        self.next = retry_from.max(self.matched.next());
+        self.mode = Mode::Probe {
+            awaiting_reply: false,
+        };
     }
 
-    /// Whether it holds all that was sent and lacks the news of a commit.
+    /// Whether the follower holds everything that was sent but not the commit index.
     #[must_use]
-    pub fn awaits_news(&self, committed: number::Index) -> bool {
-        let quiet = matches!(&self.mode, Mode::Replicate { flying } if flying.is_empty());
-        quiet && self.told < committed
+    pub fn lacks_commit_index(&self, committed: number::Index) -> bool {
+        let idle = matches!(&self.mode, Mode::Replicate { in_flight } if in_flight.is_empty());
+        idle && self.commit_sent < committed
     }
 
-    /// Lets a lost message be sent again.
-    pub fn retry(&mut self) {
+    /// Allows a lost message to be sent again.
+    pub fn allow_resend(&mut self) {
         match &mut self.mode {
-            Mode::Probe { waiting } | Mode::Snapshot { waiting, .. } => *waiting = false,
+            Mode::Probe { awaiting_reply } | Mode::Snapshot { awaiting_reply, .. } => {
+                *awaiting_reply = false;
+            }
             Mode::Replicate { .. } => {}
         }
     }
--- a/crates/cranberrygap-agreement/src/replica.rs
+++ b/crates/cranberrygap-agreement/src/replica.rs
@@ -1,20 +1,20 @@
-//! Identities of replicas and of the group that they form.
+//! Ids of replicas and of the group that they form.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A replica, drawn at random when its data folder is created.
+/// Id of a replica, drawn at random when its data folder is created.
 ///
-/// A replica that comes back with an empty folder has forgotten its votes and
-/// what it acknowledged. One would notice two leaders in one term, or accepted
-/// changes gone. It draws a new id with its new folder, so that nothing sent to
-/// or counted for the old one concerns it.
+/// A replica that restarts with an empty folder has lost its votes and its
+/// acknowledgements. Under its old id it could help to elect two leaders in one
+/// term or lose accepted changes. The new folder gives it a new id, so that
+/// nothing sent to the old id or counted for it concerns the new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(pub u64);
 
-/// A group of replicas, drawn at random when the group is formed.
+/// Id of a group of replicas, drawn at random when the group is formed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Group(pub u64);
--- a/crates/cranberrygap-agreement/src/role.rs
+++ b/crates/cranberrygap-agreement/src/role.rs
@@ -6,29 +6,29 @@
 
 use crate::{progress, replica};
 
-/// What a node is at the moment.
+/// Current role of a node.
 #[derive(Debug, Clone)]
 pub enum Role {
     /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it could win, without raising its term.
+    /// Asks in a pre-vote whether it could win, without raising its term.
     PreCandidate {
         /// Voters that would vote for it.
         granted: BTreeSet<replica::Id>,
     },
-    /// Asks for votes in its term.
+    /// Requests votes in its term.
     Candidate {
         /// Voters that voted for it.
         granted: BTreeSet<replica::Id>,
         /// Ticket of the write with its own vote, until that is durable.
-        own: Option<u64>,
+        own_vote_ticket: Option<u64>,
     },
-    /// Leads.
+    /// Leads the group.
     Leader(Leader),
 }
 
 impl Role {
-    /// Name for logs and dumps.
+    /// Returns the name used in logs and dumps.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -40,32 +40,32 @@
     }
 }
 
-/// What a leader keeps.
+/// State of a leader.
 #[derive(Debug, Clone)]
 pub struct Leader {
-    /// What it knows of the other members.
+    /// Replication progress of the other members.
     pub progress: BTreeMap<replica::Id, progress::Progress>,
-    /// Index of its first entry.
-    pub first: number::Index,
-    /// When it was elected.
-    pub elected: duration::Instant,
-    /// When the next heartbeat is due.
-    pub beat: duration::Instant,
-    /// Handing over, if it does.
+    /// Index of the first entry that this leader wrote.
+    pub first_index: number::Index,
+    /// Time of the election.
+    pub elected_at: duration::Instant,
+    /// Time at which the next heartbeat is due.
+    pub next_heartbeat: duration::Instant,
+    /// Leadership transfer in progress, if any.
     pub transfer: Option<Transfer>,
     /// Bytes of entries that are not committed yet.
-    pub uncommitted: usize,
+    pub uncommitted_bytes: usize,
 }
 
-/// A hand-over of leadership.
+/// A leadership transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transfer {
-    /// Who shall take over.
+    /// Voter that takes over.
     pub to: replica::Id,
-    /// When it began.
-    pub since: duration::Instant,
-    /// Whether the other one was asked. From then on there is no lease in this
-    /// term: the message may arrive at any later time and override the voters'
-    /// promise to the leader.
-    pub asked: bool,
+    /// Time at which the transfer began.
+    pub started: duration::Instant,
+    /// Whether the other voter was asked to take over. From then on there is no
+    /// lease in this term: the message may arrive at any later time and override
+    /// the voters' promise to the leader.
+    pub requested: bool,
 }
--- a/crates/cranberrygap-agreement/src/snapshot.rs
+++ b/crates/cranberrygap-agreement/src/snapshot.rs
@@ -5,13 +5,13 @@
 
 use crate::{members, position};
 
-/// The state after all entries up to a position.
+/// State of the state machine after all entries up to a position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry that the state contains.
+    /// Position of the last entry that the state contains.
     pub position: position::Position,
     /// Membership at that position.
     pub members: members::Members,
-    /// The state machine's bytes.
+    /// Serialized state machine.
     pub data: Bytes,
 }
--- a/crates/cranberrygap-agreement/src/timing.rs
+++ b/crates/cranberrygap-agreement/src/timing.rs
@@ -7,25 +7,25 @@
 pub struct Timing {
     /// Time between heartbeats of the leader.
     pub heartbeat: duration::Span,
-    /// Shortest election timeout, and how long a voter that heard from a leader
-    /// votes for no one else.
+    /// Shortest election timeout, and the time for which a voter that heard from a
+    /// leader votes for nobody else.
     pub election_min: duration::Span,
     /// Longest election timeout, after which a leader without quorum steps down.
     pub election_max: duration::Span,
-    /// Leader lease, counted from the sending of what a quorum acknowledged.
+    /// Leader lease, counted from the sending of a message that a quorum acknowledged.
     ///
-    /// Shorter than `election_min` by the drift allowed between two clocks.
+    /// Shorter than `election_min` by the allowed drift between two clocks.
     pub lease: duration::Span,
 }
 
 impl Default for Timing {
-    // A leader sends about 0.9 KB to each follower and back for one heartbeat;
-    // four a second keep an idle leader of three below 10 KB a second. Two
-    // heartbeats may be lost before an election begins. The median time without
-    // a leader is about the shortest timeout, less half a heartbeat, plus a third
-    // of the spread, which stays below one second; the spread is many times the
-    // round trip between failure domains, so that votes are seldom split. The
-    // lease leaves a sixth for clock drift.
+    // One heartbeat costs a leader about 0.9 KB per follower, both ways; at four
+    // per second an idle leader of three stays below 10 KB/s. Two heartbeats may be
+    // lost before an election begins. The median time without a leader is about
+    // the shortest timeout, less half a heartbeat, plus a third of the spread, and
+    // stays below one second. The spread is many times the round trip between
+    // failure domains, so that split votes are rare. The lease leaves a sixth of
+    // `election_min` for clock drift.
     fn default() -> Self {
         Self {
             heartbeat: duration::Span::from_millis(250),
--- a/crates/cranberrygap-agreement/src/vote.rs
+++ b/crates/cranberrygap-agreement/src/vote.rs
@@ -1,4 +1,4 @@
-//! What became of a request for a vote, for people.
+//! Vote requests and their outcomes, as events for the log that operators read.
 
 use std::fmt;
 
@@ -6,50 +6,50 @@
 
 use crate::{position, replica};
 
-/// Whether a vote or only the word that one would be given was asked for.
+/// Round of an election that a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Would you vote for me? It binds nobody.
-    Pre,
-    /// The vote itself.
-    Real,
+    /// Asks whether a vote would be granted; binds nobody.
+    PreVote,
+    /// Asks for a vote, which binds the voter for the term.
+    Vote,
 }
 
-/// Why a vote was refused.
+/// Reason why a vote was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reason {
     /// The voter heard from a leader within the shortest election timeout, or has
     /// just started and may have.
-    Loyal,
-    /// The candidate stands in a term that is over.
-    OldTerm(number::Term),
-    /// The voter gave its vote in this term, or knows this term's leader.
-    Given(Option<replica::Id>),
+    RecentLeader,
+    /// The candidate's term is older than the voter's.
+    StaleTerm(number::Term),
+    /// The voter has voted in this term, or knows this term's leader.
+    AlreadyVoted(Option<replica::Id>),
     /// The voter's log is ahead of the candidate's.
-    Behind {
+    LogBehind {
         /// End of the voter's log.
         own: position::Position,
-        /// End of the candidate's.
-        theirs: position::Position,
+        /// End of the candidate's log.
+        candidate: position::Position,
     },
 }
 
 /// One step of an election at one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// This replica asked all other voters.
-    Asked(Kind, number::Term),
-    /// This replica granted it.
+    /// This replica requested votes from all other voters.
+    Requested(Kind, number::Term),
+    /// This replica granted a vote.
     Granted(Kind, replica::Id, number::Term),
-    /// This replica refused it.
+    /// This replica refused a vote.
     Refused(Kind, replica::Id, number::Term, Reason),
 }
 
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Pre => "pre-vote",
-            Self::Real => "vote",
+            Self::PreVote => "pre-vote",
+            Self::Vote => "vote",
         })
     }
 }
@@ -57,14 +57,14 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Loyal => f.write_str("it may follow a leader still"),
-            Self::OldTerm(own) => write!(f, "it is in term {own} already"),
-            Self::Given(Some(to)) => write!(f, "it votes for {to} or follows it"),
-            Self::Given(None) => f.write_str("it knows the leader of this term"),
-            Self::Behind { own, theirs } => write!(
+            Self::RecentLeader => f.write_str("it may still follow a leader"),
+            Self::StaleTerm(own) => write!(f, "it is already in term {own}"),
+            Self::AlreadyVoted(Some(to)) => write!(f, "it already voted for {to} or follows it"),
+            Self::AlreadyVoted(None) => f.write_str("it already knows the leader of this term"),
+            Self::LogBehind { own, candidate } => write!(
                 f,
                 "its log ends at {} of term {}, the candidate's at {} of term {}",
-                own.index, own.term, theirs.index, theirs.term
+                own.index, own.term, candidate.index, candidate.term
             ),
         }
     }
@@ -73,7 +73,7 @@
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Asked(kind, term) => write!(f, "asks for a {kind} in term {term}"),
+            Self::Requested(kind, term) => write!(f, "asks for a {kind} in term {term}"),
             Self::Granted(kind, to, term) => write!(f, "grants {to} a {kind} in term {term}"),
             Self::Refused(kind, to, term, reason) => {
                 write!(f, "refuses {to} a {kind} in term {term}: {reason}")
--- a/crates/cranberrygap-agreement/tests/election.rs
+++ b/crates/cranberrygap-agreement/tests/election.rs
@@ -1,13 +1,13 @@
-//! Elections in the corners that long seeded runs have found.
+//! Elections, leases and promises in rare situations.
 
 mod support;
 
 use cranberrygap_agreement::{entry, input, members, message, node, output, replica, role, timing};
 use cranberrygap_model::{duration, number};
 
-const LONG_AFTER: u64 = 10_000;
+const AFTER_PROMISE_MILLIS: u64 = 10_000;
 
-/// Hands those of `messages` to a node that are for it, and gives its answers.
+/// Delivers the messages that are addressed to a node and returns its replies.
 fn deliver(
     to: &mut node::Node,
     now: duration::Instant,
@@ -23,14 +23,18 @@
     answers
 }
 
-// One of three voters is dead, and the others stand in different terms, since
-// one of them missed an election. Its grant was dropped as an answer of an
-// earlier term: operators would see a healthy majority without a leader.
+// One of three voters is dead and the other two are in different terms, because one
+// missed an election. If its grant is dropped as a reply of an earlier term, the
+// majority never elects a leader.
 #[test]
 fn grant_from_a_voter_in_an_earlier_term_counts() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut node = support::node(1, 95, log);
-    support::step(&mut node, support::at(LONG_AFTER), input::Input::Tick);
+    support::step(
+        &mut node,
+        support::at(AFTER_PROMISE_MILLIS),
+        input::Input::Tick,
+    );
     let grant = message::Body::PreVoted {
         granted: true,
         asked: number::Term(96),
@@ -38,7 +42,7 @@
 
     support::step(
         &mut node,
-        support::at(LONG_AFTER),
+        support::at(AFTER_PROMISE_MILLIS),
         support::message(2, 1, 92, grant),
     );
 
@@ -46,11 +50,11 @@
     assert!(matches!(node.role(), role::Role::Candidate { .. }));
 }
 
-// The leader sent entries to a learner and died before a voter had them. A
-// candidate in whose log the learner is already a voter needs its vote and
-// cannot get it. Nobody would lead the group again.
+// The leader sent entries to a learner and died before a voter had them. A candidate
+// in whose log the learner is already a voter needs its vote and cannot get it; unless
+// the learner campaigns itself, nobody leads the group again.
 #[test]
-fn learner_with_the_longest_log_stands_when_asked() {
+fn learner_with_the_longest_log_campaigns_when_asked() {
     let mut founders = support::voters(&[1, 2, 3]);
     founders.0.extend([support::member(4, false)]);
     let log = vec![support::first_entry(founders), support::data(5, 2)];
@@ -61,7 +65,7 @@
 
     let sent = support::step(
         &mut learner,
-        support::at(LONG_AFTER),
+        support::at(AFTER_PROMISE_MILLIS),
         support::message(1, 4, 5, request),
     );
 
@@ -73,9 +77,9 @@
     assert_eq!(asked, [1, 2, 3].map(replica::Id));
 }
 
-// A voter restarts and has forgotten that it heard from the leader a moment
-// ago. Voting at once, it would let a second leader grant while the first one's
-// lease runs, and a share would be given out twice.
+// A restarted voter has lost the time of its last contact with the leader. If it votes
+// at once, a second leader grants shares while the first one's lease still runs, and a
+// share is granted twice.
 #[test]
 fn restarted_voter_keeps_its_promise_to_the_leader() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
@@ -87,7 +91,7 @@
     };
 
     let early = support::step(&mut voter, support::at(100), request(6));
-    let late = support::step(&mut voter, support::at(LONG_AFTER), request(7));
+    let late = support::step(&mut voter, support::at(AFTER_PROMISE_MILLIS), request(7));
 
     assert!(early.is_empty(), "{early:?}");
     assert!(matches!(
@@ -96,64 +100,63 @@
     ));
 }
 
-// All instances lose power at once. Each voter would wait out its promise to a
-// leader that has lost its lease with its memory, and callers would be refused for
-// most of a second longer. The leader asks again as soon as it is back, and the
-// voters know by their durable vote that their promise was to it.
+// All instances lose power at once. If each voter waited out its promise to a leader
+// that lost its lease with its memory, callers would be refused for most of a second
+// longer. The durable vote shows that the promise was made to the leader that now asks.
 #[test]
-fn leader_that_returns_is_elected_at_once() {
+fn former_leader_is_reelected_at_once_after_a_power_loss() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut leader = support::restarted(1, 5, Some(1), log.clone());
     let mut voter = support::restarted(2, 5, Some(1), log);
 
     let asked = support::step(&mut leader, support::at(0), input::Input::Tick);
-    let told = deliver(&mut voter, support::at(20), asked);
-    let campaign = deliver(&mut leader, support::at(40), told);
-    let given = deliver(&mut voter, support::at(60), campaign);
-    deliver(&mut leader, support::at(80), given);
+    let pre_votes = deliver(&mut voter, support::at(20), asked);
+    let vote_requests = deliver(&mut leader, support::at(40), pre_votes);
+    let vote_replies = deliver(&mut voter, support::at(60), vote_requests);
+    deliver(&mut leader, support::at(80), vote_replies);
 
     assert!(leader.is_leader());
     assert_eq!(leader.hard().term, number::Term(6));
 }
 
-// The leader that returns is up a moment before the others. Asking once, it would
-// be heard by nobody and would wait out a whole election timeout.
+// The former leader restarts a moment before the other voters. If it asked only once,
+// nobody would be up yet and it would wait for a whole election timeout.
 #[test]
-fn leader_that_returns_asks_again_soon() {
+fn former_leader_repeats_its_pre_vote_after_a_heartbeat() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut leader = support::restarted(1, 5, Some(1), log);
 
     support::step(&mut leader, support::at(0), input::Input::Tick);
-    let again = support::step(&mut leader, support::at(260), input::Input::Tick);
+    let repeated = support::step(&mut leader, support::at(260), input::Input::Tick);
 
-    assert!(!again.is_empty());
+    assert!(!repeated.is_empty());
 }
 
-// A candidate that lost its election comes back and asks again, while the leader
-// that won runs on with a lease. A voter that restarted too must know by its disk
-// that it followed the winner, though it had voted for the loser.
+// A candidate that lost its election asks again while the winner leads with a lease. A
+// voter that restarted, too, must know from its disk that it followed the winner,
+// although it had voted for the loser.
 #[test]
-fn restarted_voter_is_loyal_to_the_leader_it_followed() {
+fn restarted_voter_keeps_its_promise_to_the_leader_it_followed() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut voter = support::restarted(2, 5, Some(3), log.clone());
     let heartbeat = message::Body::Append {
         previous: support::position(1, 1),
         entries: Vec::new(),
         committed: number::Index(1),
-        sent: support::at(LONG_AFTER),
+        sent: support::at(AFTER_PROMISE_MILLIS),
     };
     support::step(
         &mut voter,
-        support::at(LONG_AFTER),
+        support::at(AFTER_PROMISE_MILLIS),
         support::message(1, 2, 5, heartbeat),
     );
     let vote = voter.hard().vote.map(|id| id.0);
-    let mut again = support::restarted(2, 5, vote, log);
+    let mut restarted = support::restarted(2, 5, vote, log);
     let last = support::position(1, 1);
     let request = message::Body::PreVote { last };
 
     let answers = support::step(
-        &mut again,
+        &mut restarted,
         support::at(10),
         support::message(3, 2, 5, request),
     );
@@ -165,12 +168,11 @@
     ));
 }
 
-// A voter receives a snapshot in parts and answers each; the answers renew the
-// leader's lease. Sent before the disk knows the leader, an answer would be a promise
-// that a restarted voter no longer knows, and it would release the leader for the
-// candidate that it voted for before.
+// A voter's replies to the chunks of a snapshot renew the leader's lease. If a reply is
+// sent before the vote for the leader is durable, a restarted voter does not know of its
+// promise and votes for the candidate that it voted for before.
 #[test]
-fn part_of_a_snapshot_is_answered_once_the_leader_is_durable() {
+fn chunk_of_a_snapshot_is_answered_once_the_vote_is_durable() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut voter = support::restarted(2, 5, Some(3), log);
     let part = message::Body::Chunk {
@@ -179,10 +181,13 @@
         offset: 0,
         total: 100,
         data: bytes::Bytes::from_static(b"part"),
-        sent: support::at(LONG_AFTER),
+        sent: support::at(AFTER_PROMISE_MILLIS),
     };
 
-    let outputs = voter.step(support::at(LONG_AFTER), support::message(1, 2, 5, part));
+    let outputs = voter.step(
+        support::at(AFTER_PROMISE_MILLIS),
+        support::message(1, 2, 5, part),
+    );
 
     let sent_early = outputs
         .iter()
@@ -196,8 +201,8 @@
     assert_eq!(hard.and_then(|hard| hard.vote), Some(replica::Id(1)));
 }
 
-// The only voter waits for its vote to be written. It must not ask for the next
-// tick at once, again and again, until the disk is done.
+// The only voter waits for its vote to be written. It must not request the next tick at
+// once, over and over, until the disk is done.
 #[test]
 fn sole_voter_waits_for_its_disk_without_spinning() {
     let log = vec![support::first_entry(support::voters(&[1]))];
@@ -211,43 +216,43 @@
     assert!(node.deadline() > now);
 }
 
-// A leader behind a connection that swallows everything must not believe in its
-// lease, or it would grant what its successor grants too.
+// A leader whose connections silently drop everything must not rely on its lease, or it
+// grants what its successor grants, too.
 #[test]
-fn lease_ends_without_answers_and_then_the_office() {
+fn leader_without_answers_loses_its_lease_and_then_steps_down() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut leader = support::node(1, 1, log);
-    support::elect(&mut leader, support::at(LONG_AFTER), 2);
+    support::elect(&mut leader, support::at(AFTER_PROMISE_MILLIS), 2);
     let matched = leader.log().last().index;
-    let sent = support::at(LONG_AFTER);
+    let sent = support::at(AFTER_PROMISE_MILLIS);
     let answer = message::Body::Appended { matched, sent };
     support::step(
         &mut leader,
-        support::at(LONG_AFTER + 10),
+        support::at(AFTER_PROMISE_MILLIS + 10),
         support::message(2, 1, 2, answer),
     );
-    let end = support::at(LONG_AFTER).after(timing::Timing::default().lease);
+    let end = support::at(AFTER_PROMISE_MILLIS).after(timing::Timing::default().lease);
     let granted = leader.may_grant(duration::Instant(end.0 - 1));
-    let lapsed = leader.may_grant(end);
+    let still_granted = leader.may_grant(end);
 
     support::step(
         &mut leader,
-        support::at(LONG_AFTER + 1_000),
+        support::at(AFTER_PROMISE_MILLIS + 1_000),
         input::Input::Tick,
     );
 
     assert!(granted);
-    assert!(!lapsed);
+    assert!(!still_granted);
     assert!(!leader.is_leader());
 }
 
-// The leader has asked another voter to take over; the message may arrive any
-// time later and make voters break their promise, so it must not grant again.
+// The message that asks another voter to take over may arrive at any later time and make
+// voters ignore their promise, so the leader must not grant again.
 #[test]
 fn no_lease_after_asking_another_to_take_over() {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut leader = support::node(1, 1, log);
-    let now = support::at(LONG_AFTER);
+    let now = support::at(AFTER_PROMISE_MILLIS);
     support::elect(&mut leader, now, 2);
     let matched = leader.log().last().index;
     let answer = message::Body::Appended { matched, sent: now };
@@ -305,10 +310,10 @@
     ));
 }
 
-// A replica starts with a log of several megabytes, becomes the leader and learns with the
-// first acknowledgement that all of it is committed. Applied in one go, it keeps the
-// protocol busy for seconds on a small instance; no heartbeat goes out, and the next one
-// is elected, which does the same.
+// A replica with a log of several megabytes becomes leader and learns with the first
+// acknowledgement that all of it is committed. Applying it in one step takes seconds on a
+// small instance, during which no heartbeat is sent and the next leader is elected, which
+// does the same.
 #[test]
 fn long_log_is_applied_in_parts_and_the_leader_grants_after_the_last() {
     const ENTRIES: u64 = 200;
@@ -329,7 +334,7 @@
 
     let mut outputs = node.step(support::at(1_110), acknowledged);
     let mut parts = Vec::new();
-    while let Some(part) = part(&outputs) {
+    while let Some(part) = applied_bytes(&outputs) {
         parts.push(part);
         assert_eq!(node.may_grant(support::at(1_110)), node.backlog() == 0);
         outputs = node.step(support::at(1_110), input::Input::Tick);
@@ -340,8 +345,8 @@
     assert!(node.deadline() > support::at(1_110));
 }
 
-/// Bytes that a step handed out for applying.
-fn part(outputs: &[output::Output]) -> Option<usize> {
+/// Returns the bytes that a step handed out for applying.
+fn applied_bytes(outputs: &[output::Output]) -> Option<usize> {
     let mut applied = outputs.iter().filter_map(|output| match output {
         output::Output::Apply(entries) => Some(entries.iter().map(entry::Entry::size).sum()),
         _ => None,
--- a/crates/cranberrygap-agreement/tests/membership.rs
+++ b/crates/cranberrygap-agreement/tests/membership.rs
@@ -1,18 +1,18 @@
-//! Changes of the membership that must be refused, and followers that misbehave.
+//! Membership changes that must be refused, misbehaving followers, and formation.
 
 mod support;
 
 use cranberrygap_agreement::{change, formation, input, message, node, output, replica};
 use cranberrygap_model::number;
 
-const NOW: u64 = 10_000;
+const NOW_MILLIS: u64 = 10_000;
 
-/// A leader of three voters of which only the second answers.
+/// Returns a leader of three voters of which only the second answers.
 fn leader() -> node::Node {
     let log = vec![support::first_entry(support::voters(&[1, 2, 3]))];
     let mut leader = support::node(1, 1, log);
-    support::elect(&mut leader, support::at(NOW), 2);
-    acknowledge(&mut leader, NOW);
+    support::elect(&mut leader, support::at(NOW_MILLIS), 2);
+    acknowledge(&mut leader, NOW_MILLIS);
     leader
 }
 
@@ -34,18 +34,18 @@
     })
 }
 
-// One of three voters is dead and the operator takes out a live one by mistake.
-// The change could never commit, and no voter could be elected any more.
+// One of three voters is dead and the operator removes a live one by mistake. The change
+// could never commit, and no voter could be elected any more.
 #[test]
 fn live_voter_is_not_removed_while_another_is_dead() {
     let mut leader = leader();
 
     let live = leader.step(
-        support::at(NOW),
+        support::at(NOW_MILLIS),
         input::Input::Change(change::Change::Remove(replica::Id(2))),
     );
     let dead = leader.step(
-        support::at(NOW),
+        support::at(NOW_MILLIS),
         input::Input::Change(change::Change::Remove(replica::Id(3))),
     );
 
@@ -62,8 +62,8 @@
         input::Input::Change(change::Change::AddLearner { id, peer })
     };
 
-    let first = leader.step(support::at(NOW), add(4));
-    let second = leader.step(support::at(NOW), add(5));
+    let first = leader.step(support::at(NOW_MILLIS), add(4));
+    let second = leader.step(support::at(NOW_MILLIS), add(5));
 
     assert_eq!(refusal(&first), None);
     assert_eq!(refusal(&second), Some(output::Refusal::ChangePending));
@@ -77,43 +77,43 @@
     let (id, member) = support::member(4, false);
     let peer = member.peer;
     let add = input::Input::Change(change::Change::AddLearner { id, peer });
-    support::step(&mut leader, support::at(NOW), add);
-    acknowledge(&mut leader, NOW);
+    support::step(&mut leader, support::at(NOW_MILLIS), add);
+    acknowledge(&mut leader, NOW_MILLIS);
 
     let outputs = leader.step(
-        support::at(NOW),
+        support::at(NOW_MILLIS),
         input::Input::Change(change::Change::Promote(id)),
     );
 
     assert_eq!(refusal(&outputs), Some(output::Refusal::LearnerLags));
 }
 
-// A follower was given an old copy of its folder and rejects what it once
-// acknowledged. Sent again at once, leader and follower would exchange messages
-// as fast as the network carries them, and the instance would be busy with that.
+// A follower whose folder was restored from an old copy rejects what it acknowledged. If
+// the leader resends at once, both exchange messages as fast as the network carries them
+// and keep the instance busy.
 #[test]
-fn follower_that_forgot_is_left_to_the_next_heartbeat() {
+fn rejection_of_acknowledged_entries_waits_for_the_next_heartbeat() {
     let mut leader = leader();
     let last = leader.log().last().index;
     let rejection = message::Body::Rejected {
         previous: last,
         hint: number::Index(0),
-        sent: support::at(NOW),
+        sent: support::at(NOW_MILLIS),
     };
 
     let sent = support::step(
         &mut leader,
-        support::at(NOW),
+        support::at(NOW_MILLIS),
         support::message(2, 1, 2, rejection),
     );
 
     assert!(sent.is_empty(), "{sent:?}");
 }
 
-// Two of three voters lose their disks. If they could found the group anew, what
-// the third one still holds of the accepted changes would be gone.
+// Two of three voters lose their disks. If they could form a new group, the accepted
+// changes that the third voter still holds would be lost.
 #[test]
-fn group_is_not_founded_while_one_voter_is_not_heard() {
+fn group_is_not_formed_before_all_voters_are_heard() {
     let hello = |number: u64| {
         let (id, member) = support::member(number, true);
         let peer = member.peer;
@@ -134,10 +134,10 @@
     assert_eq!(complete, formation::Outcome::Founder(formed));
 }
 
-// A voter comes back with an empty folder. It must not vote under the id whose
-// votes it has forgotten, and the operator must be told.
+// A voter restarts with an empty folder. It must not vote under the id whose votes it has
+// lost, and the operator must learn of the loss.
 #[test]
-fn empty_folder_of_a_known_voter_is_noticed() {
+fn empty_folder_of_a_founder_is_reported_as_a_lost_disk() {
     let founders = support::voters(&[1, 2, 3]);
     let group = support::GROUP;
     let formed = formation::Formed { group, founders };
@@ -154,34 +154,35 @@
     assert_eq!(outcome, formation::Outcome::NonMember { formed, lost_disk });
 }
 
-// Followers serve views. If they heard of a commit with the next heartbeat only,
-// a withdrawn key would go on working at their entries for that long.
+// Followers serve views. If they learned of a commit from the next heartbeat only, their
+// entries would accept a withdrawn key for that long.
 #[test]
-fn followers_hear_of_a_commit_at_once() {
+fn commit_index_is_sent_to_followers_at_once() {
     let mut leader = leader();
     let change = bytes::Bytes::from("change");
     support::step(
         &mut leader,
-        support::at(NOW),
+        support::at(NOW_MILLIS),
         input::Input::Propose(vec![change]),
     );
     let matched = leader.log().last().index;
-    let sent = support::at(NOW);
+    let sent = support::at(NOW_MILLIS);
     let answer = message::Body::Appended { matched, sent };
 
-    let told = support::step(
+    let sent_messages = support::step(
         &mut leader,
-        support::at(NOW),
+        support::at(NOW_MILLIS),
         support::message(2, 1, 2, answer),
     );
 
-    let news = |message: &message::Message| {
+    let has_commit_index = |message: &message::Message| {
         let body = &message.body;
         matches!(body, message::Body::Append { committed, .. } if *committed == matched)
     };
     assert_eq!(leader.committed(), matched);
     assert!(
-        told.iter()
-            .any(|message| message.to == replica::Id(2) && news(message))
+        sent_messages
+            .iter()
+            .any(|message| message.to == replica::Id(2) && has_commit_index(message))
     );
 }
--- a/crates/cranberrygap-agreement/tests/steward.rs
+++ b/crates/cranberrygap-agreement/tests/steward.rs
@@ -1,4 +1,4 @@
-//! Who is taken into the group and who is taken out, without an operator.
+//! Membership changes that the reconciler makes without an operator.
 
 use std::collections::BTreeMap;
 
@@ -32,9 +32,9 @@
     }
 }
 
-/// What the leader does when these members are silent for so many milliseconds and
-/// all others answer and hold the log.
-fn next(
+/// Returns the leader's next change when these members are silent for the given
+/// milliseconds and all others answer and hold the log.
+fn next_change(
     members: &members::Members,
     silent: &[(u64, u64)],
     newcomers: &[reconciler::Newcomer],
@@ -56,80 +56,79 @@
     )
 }
 
-// A control process loses its disk and comes back at once at its old address. Its old
-// replica id is counted as a voter that never answers again; with one more failure
-// nothing could be changed any more.
+// A control process loses its disk and restarts at once at its old address. Its old
+// replica id counts as a voter that never answers again; with one more failure nothing
+// could commit any more.
 #[test]
-fn voter_whose_folder_is_lost_is_taken_out_at_once() {
+fn voter_with_a_lost_folder_is_removed_at_once() {
     let members = group(&[1, 2, 3], &[]);
 
-    let change = next(&members, &[(3, 300)], &[newcomer(33, 3)]);
+    let change = next_change(&members, &[(3, 300)], &[newcomer(33, 3)]);
 
     assert_eq!(change, Some(change::Change::Remove(replica::Id(3))));
 }
 
 #[test]
-fn process_with_a_new_folder_learns_and_then_votes() {
-    let joins = next(&group(&[1, 2], &[]), &[], &[newcomer(33, 3)]);
-    let votes = next(&group(&[1, 2], &[33]), &[], &[]);
+fn newcomer_becomes_a_learner_and_then_a_voter() {
+    let added = next_change(&group(&[1, 2], &[]), &[], &[newcomer(33, 3)]);
+    let promoted = next_change(&group(&[1, 2], &[33]), &[], &[]);
 
     let peer = peer(3);
     let id = replica::Id(33);
-    assert_eq!(joins, Some(change::Change::AddLearner { id, peer }));
-    assert_eq!(votes, Some(change::Change::Promote(id)));
+    assert_eq!(added, Some(change::Change::AddLearner { id, peer }));
+    assert_eq!(promoted, Some(change::Change::Promote(id)));
 }
 
-// An instance is gone for good and an empty one takes its place at another address.
-// Without an operator the group would go on with a dead voter until the next failure
-// ends it.
+// An instance is gone for good and an empty one takes its place at another address. If
+// the dead voter stays in the group, the next failure leaves it without a quorum.
 #[test]
-fn silent_voter_makes_way_for_a_learner_that_stands_ready() {
-    let change = next(&group(&[1, 2, 3], &[4]), &[(3, 2_000)], &[]);
+fn silent_voter_is_replaced_by_a_caught_up_learner() {
+    let change = next_change(&group(&[1, 2, 3], &[4]), &[(3, 2_000)], &[]);
 
     assert_eq!(change, Some(change::Change::Remove(replica::Id(3))));
 }
 
-// A voter is frozen for some seconds. Taken out without a replacement, it would leave
-// a group of two, which the next failure stops.
+// A voter does not respond for some seconds. If it is removed without a replacement, the
+// group is left with two voters and the next failure stops it.
 #[test]
-fn silent_voter_stays_while_nobody_can_take_its_place() {
-    let change = next(&group(&[1, 2, 3], &[]), &[(3, 60_000)], &[]);
+fn silent_voter_stays_while_no_learner_can_replace_it() {
+    let change = next_change(&group(&[1, 2, 3], &[]), &[(3, 60_000)], &[]);
 
     assert_eq!(change, None);
 }
 
-// Five instances present themselves to a group of three. With five voters each change
-// would need three answers, and nothing asked for that.
+// Five instances ask to join a group of three. With five voters each change would need
+// three acknowledgements, which nobody asked for.
 #[test]
 fn group_keeps_its_number_of_voters() {
-    let change = next(&group(&[1, 2, 3], &[4]), &[], &[]);
+    let change = next_change(&group(&[1, 2, 3], &[4]), &[], &[]);
 
     assert_eq!(change, None);
 }
 
-// The new instance dies before it has caught up. Left in the group, it would be sent
-// the whole log for ever.
+// A new instance dies before it has caught up. If it stays in the group, the leader sends
+// it the whole log for ever.
 #[test]
-fn learner_that_is_gone_is_dropped() {
-    let change = next(&group(&[1, 2, 3], &[4]), &[(4, 11_000)], &[]);
+fn silent_learner_is_removed() {
+    let change = next_change(&group(&[1, 2, 3], &[4]), &[(4, 11_000)], &[]);
 
     assert_eq!(change, Some(change::Change::Remove(replica::Id(4))));
 }
 
 #[test]
-fn newcomer_that_is_not_heard_any_more_is_not_taken_in() {
+fn silent_newcomer_is_not_added() {
     let mut gone = newcomer(4, 4);
     gone.silence = duration::Span::from_secs(4);
 
-    let change = next(&group(&[1, 2, 3], &[]), &[], &[gone]);
+    let change = next_change(&group(&[1, 2, 3], &[]), &[], &[gone]);
 
     assert_eq!(change, None);
 }
 
-// Two control processes of five lose their folders while all lose power. With three voters,
-// two of them among the lost, nobody led for the rest of the day.
+// Two control processes lose their folders while all lose power. In a group of three
+// voters the remaining one is no majority, and the group never elects a leader again.
 #[test]
-fn group_has_a_majority_left_after_the_losses_that_it_is_to_bear() {
+fn group_keeps_a_majority_after_the_tolerated_losses() {
     for losses in 0..=3 {
         let voters = reconciler::Policy::tolerating(losses).voters;
 
@@ -139,15 +138,15 @@
 }
 
 #[test]
-fn learner_votes_while_the_group_has_fewer_voters_than_its_losses_ask_for() {
+fn learner_is_promoted_while_the_group_has_too_few_voters_for_its_losses() {
     let members = group(&[1, 2, 3], &[4]);
-    let answers = |_| reconciler::Contact {
+    let all_caught_up = |_| reconciler::Contact {
         silence: duration::Span::from_millis(100),
         caught_up: true,
     };
 
-    let patience = reconciler::Policy::tolerating(2);
-    let change = reconciler::next_change(&patience, LEADER, &members, answers, &[]);
+    let policy = reconciler::Policy::tolerating(2);
+    let change = reconciler::next_change(&policy, LEADER, &members, all_caught_up, &[]);
 
     assert_eq!(change, Some(change::Change::Promote(replica::Id(4))));
 }
--- a/crates/cranberrygap-agreement/tests/support/mod.rs
+++ b/crates/cranberrygap-agreement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes that are driven by hand: outputs are carried out at once.
+//! Nodes that tests drive step by step; writes become durable at once.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use cranberrygap_agreement::{
@@ -41,12 +41,12 @@
     }
 }
 
-/// A node in a term with a durable log, as after a restart long ago.
+/// Returns a node in a term with a durable log, as after a restart long ago.
 pub fn node(number: u64, term: u64, entries: Vec<entry::Entry>) -> node::Node {
     restarted(number, term, None, entries)
 }
 
-/// A node that starts at time 0 from a term, a vote and a durable log.
+/// Returns a node that starts at time 0 with a term, a vote and a durable log.
 pub fn restarted(
     number: u64,
     term: u64,
@@ -76,7 +76,7 @@
     })
 }
 
-/// Takes an input, makes all writes durable at once, and gives what was sent.
+/// Steps a node, makes all its writes durable at once, and returns the messages sent.
 pub fn step(
     node: &mut node::Node,
     now: duration::Instant,
@@ -101,7 +101,7 @@
     sent
 }
 
-/// Lets a node win an election with the vote of `voter`.
+/// Makes a node win an election with the vote of `voter`.
 pub fn elect(node: &mut node::Node, now: duration::Instant, voter: u64) {
     let own = node.id().0;
     step(node, now, input::Input::Tick);
