--- a/crates/cranberrygap-state/src/answer.rs
+++ b/crates/cranberrygap-state/src/answer.rs
@@ -1,25 +1,25 @@
-//! What the state answers to a committed command.
+//! Answers of the state to committed commands.
 
 use cranberrygap_wire::{claim, operator};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// The answer to one command; every replica comes to the same.
+/// Answer to one command; all replicas reach the same one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "content", rename_all = "snake_case")]
 pub enum Answer {
-    /// Taken, there is nothing more to say.
+    /// The command was accepted, and there is no more to say.
     Done,
     /// Nothing was changed, for this reason.
     Refused(SmolStr),
-    /// To a configuration.
+    /// Answer to a configuration.
     Applied(operator::Applied),
-    /// To a new key.
+    /// Answer to a new key.
     Issued(operator::Issued),
-    /// To a withdrawn key.
+    /// Answer to a withdrawn key.
     Withdrawn(operator::Withdrawn),
-    /// To a drain.
+    /// Answer to a drain.
     Drained(operator::Drained),
-    /// To an entry that asks to run a booking.
+    /// Answer to an entry that asks to run a booking.
     Claimed(claim::Verdict),
 }
--- a/crates/cranberrygap-state/src/audit.rs
+++ b/crates/cranberrygap-state/src/audit.rs
@@ -1,4 +1,4 @@
-//! Hash-chained trail of everything that was accepted.
+//! Hash-chained audit trail of all accepted changes.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,23 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Records that are kept; a few megabytes, since a record holds at most an
-/// operator's reason and a short description. Of older ones the hash remains, in the
-/// `previous` of the oldest record.
-const MOST_RECORDS: usize = 8_192;
+/// Most records that are kept.
+///
+/// They take a few megabytes, since a record holds at most an operator's reason and a
+/// short description. Of older records the hash remains, in the `previous` of the
+/// oldest record that is kept.
+const MAX_RECORDS: usize = 8_192;
 
 /// Most records in one answer.
-const LONGEST_ANSWER: u64 = 1_024;
+const MAX_RECORDS_PER_ANSWER: u64 = 1_024;
 
-/// Separates these hashes from every other use of BLAKE3.
-const CONTEXT: &str = "cranberrygap 2026-12 audit record";
+/// Context of the record hashes, which separates them from every other use of BLAKE3.
+const HASH_CONTEXT: &str = "cranberrygap 2026-12 audit record";
 
-/// The trail. Each record holds the hash of the one before it, so that nobody
-/// can alter or leave out a record without changing every later hash.
+/// The audit trail.
+///
+/// Each record holds the hash of the one before it, so that nobody can alter or leave
+/// out a record without changing every later hash.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Trail {
     latest: u64,
@@ -27,44 +31,44 @@
     records: VecDeque<audit::Record>,
 }
 
-/// What goes into a record.
+/// Content of a new record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fact {
+pub struct Event {
     /// One of configuration, key, quarantine, order, claim, member.
     pub subject: &'static str,
-    /// Who asked.
+    /// Operator or process that asked for the change.
     pub by: SmolStr,
-    /// What changed, without secrets.
+    /// Description of the change, without secrets.
     pub detail: serde_json::Value,
 }
 
-/// Where a chain is broken.
+/// Reason why a chain of records is broken.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Break {
+pub enum Error {
     /// A record's content does not give its hash.
     #[error("record {number} was altered: its content does not give its hash")]
     Altered {
-        /// The record.
+        /// Number of the record.
         number: u64,
     },
     /// A record does not follow the one before it.
     #[error("record {number} does not follow the one before it: records were left out or replaced")]
     Unchained {
-        /// The record.
+        /// Number of the record.
         number: u64,
     },
 }
 
 impl Trail {
-    /// Adds a fact.
-    pub fn push(&mut self, revision: number::Revision, at: u64, fact: Fact) {
+    /// Appends a record of an event.
+    pub fn push(&mut self, revision: number::Revision, at: u64, event: Event) {
         let mut record = audit::Record {
             number: self.latest + 1,
             revision,
             at,
-            subject: fact.subject.into(),
-            by: fact.by,
-            detail: fact.detail.to_string().into(),
+            subject: event.subject.into(),
+            by: event.by,
+            detail: event.detail.to_string().into(),
             previous: self.head.clone(),
             hash: SmolStr::default(),
         };
@@ -72,19 +76,19 @@
         self.latest = record.number;
         self.head = record.hash.clone();
         self.records.push_back(record);
-        while self.records.len() > MOST_RECORDS {
+        while self.records.len() > MAX_RECORDS {
             self.records.pop_front();
         }
     }
 
-    /// A part of the trail.
+    /// Returns a part of the trail.
     #[must_use]
-    pub fn read(&self, wanted: &audit::Read) -> audit::Trail {
+    pub fn read(&self, request: &audit::Read) -> audit::Trail {
         let oldest = self.records.front().map_or(0, |record| record.number);
-        let limit = wanted.limit.min(LONGEST_ANSWER);
+        let limit = request.limit.min(MAX_RECORDS_PER_ANSWER);
         let limit = usize::try_from(limit).unwrap_or(usize::MAX);
         let records = self.records.iter();
-        let records = records.filter(|record| record.number >= wanted.from);
+        let records = records.filter(|record| record.number >= request.from);
         audit::Trail {
             oldest,
             latest: self.latest,
@@ -94,10 +98,10 @@
     }
 }
 
-/// The hash of a record over all its other fields.
+/// Returns the hash of a record over all its other fields.
 #[must_use]
 pub fn hash(record: &audit::Record) -> SmolStr {
-    let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+    let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
     hasher.update(&record.number.to_le_bytes());
     hasher.update(&record.revision.0.to_le_bytes());
     hasher.update(&record.at.to_le_bytes());
@@ -118,20 +122,20 @@
 /// # Errors
 ///
 /// The first record at which the chain is broken.
-pub fn verify(records: &[audit::Record]) -> Result<(), Break> {
-    let mut before: Option<&audit::Record> = None;
+pub fn verify(records: &[audit::Record]) -> Result<(), Error> {
+    let mut predecessor: Option<&audit::Record> = None;
     for record in records {
         let number = record.number;
         if hash(record) != record.hash {
-            return Err(Break::Altered { number });
+            return Err(Error::Altered { number });
         }
-        let follows = before.is_none_or(|before| {
-            before.number + 1 == record.number && before.hash == record.previous
+        let follows = predecessor.is_none_or(|predecessor| {
+            predecessor.number + 1 == record.number && predecessor.hash == record.previous
         });
         if !follows {
-            return Err(Break::Unchained { number });
+            return Err(Error::Unchained { number });
         }
-        before = Some(record);
+        predecessor = Some(record);
     }
     Ok(())
 }
--- a/crates/cranberrygap-state/src/fact.rs
+++ b/crates/cranberrygap-state/src/audit_event.rs
@@ -1,17 +1,18 @@
-//! What the audit trail keeps of each command.
+//! Audit events of commands.
 
 use cranberrygap_wire::{claim as wire, view};
 use smol_str::SmolStr;
 
 use crate::{answer, audit, claim, command};
 
-/// What the trail keeps of a command that was taken; `None` for news that are
-/// no promise, such as heartbeats.
-pub(crate) fn of(
+/// Returns the audit event of an accepted command.
+///
+/// `None` for commands that promise nothing to anybody, such as heartbeats.
+pub(crate) fn for_command(
     command: &command::Command,
     answer: &answer::Answer,
     changes: &[view::Change],
-) -> Option<audit::Fact> {
+) -> Option<audit::Event> {
     let (subject, by, detail) = match command {
         command::Command::Configuration(step) => (
             "configuration",
@@ -66,7 +67,7 @@
             SmolStr::new_static("leader"),
             serde_json::json!(record),
         ),
-        command::Command::Claim(step) => claim_fact(step, answer),
+        command::Command::Claim(step) => claim_event(step, answer),
         command::Command::Lender(_)
         | command::Command::Member(_)
         | command::Command::Quarantine(_)
@@ -76,14 +77,14 @@
         | command::Command::Catalogue(_)
         | command::Command::Endpoint(_) => return None,
     };
-    Some(audit::Fact {
+    Some(audit::Event {
         subject,
         by,
         detail,
     })
 }
 
-fn claim_fact(
+fn claim_event(
     step: &claim::Step,
     answer: &answer::Answer,
 ) -> (&'static str, SmolStr, serde_json::Value) {
@@ -129,12 +130,12 @@
     }
 }
 
-/// Hash of a configuration's text; the text itself is read by its revision.
+/// Returns the hash of a configuration's text; the text itself is read by its revision.
 fn full_hash(text: &str) -> String {
     blake3::hash(text.as_bytes()).to_hex().to_string()
 }
 
-/// Callers' idempotency keys stay out of the trail.
+/// Returns a short hash of an idempotency key, which stays out of the trail itself.
 fn short_hash(text: &str) -> String {
     let hash = blake3::hash(text.as_bytes()).to_hex();
     hash.chars().take(16).collect()
--- a/crates/cranberrygap-state/src/catalogue.rs
+++ b/crates/cranberrygap-state/src/catalogue.rs
@@ -1,11 +1,12 @@
-//! What the weight store can load.
+//! Models that the weight store can load.
 
 use cranberrygap_wire::{endpoint, view};
 use serde::{Deserialize, Serialize};
 
-/// Models, adapters and versions that are taken: three times the planned
-/// number. The whole list is one command, which must fit into one proposal.
-const MOST_MODELS: usize = 4_096;
+/// Most models, adapters and versions that are kept: three times the planned number.
+///
+/// The whole list is one command, which must fit into one proposal.
+const MAX_MODELS: usize = 4_096;
 
 /// The store's list, sorted by name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -13,15 +14,15 @@
     models: Vec<endpoint::Weights>,
 }
 
-/// The store was read again.
+/// A new reading of the store's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// What it lists.
+    /// Listed models.
     pub models: Vec<endpoint::Weights>,
 }
 
 impl Catalogue {
-    /// Replaces the list; nothing changes when it is the same.
+    /// Replaces the list; returns no change if it is the same.
     pub fn apply(&mut self, step: &Step) -> Vec<view::Change> {
         let models = sorted(&step.models);
         if models == self.models {
@@ -31,13 +32,13 @@
         vec![view::Change::Catalogued { catalogue: models }]
     }
 
-    /// Whether a list differs from what is held.
+    /// Returns whether a list differs from the current one.
     #[must_use]
     pub fn differs(&self, listed: &[endpoint::Weights]) -> bool {
         sorted(listed) != self.models
     }
 
-    /// The models by name.
+    /// Returns the models by name.
     #[must_use]
     pub fn models(&self) -> &[endpoint::Weights] {
         &self.models
@@ -48,6 +49,6 @@
     let mut models = listed.to_vec();
     models.sort_by(|one, other| one.model.cmp(&other.model));
     models.dedup_by(|one, other| one.model == other.model);
-    models.truncate(MOST_MODELS);
+    models.truncate(MAX_MODELS);
     models
 }
--- a/crates/cranberrygap-state/src/claim.rs
+++ b/crates/cranberrygap-state/src/claim.rs
@@ -1,15 +1,15 @@
 //! Claims: the committed right to run one booking once.
 //!
-//! A claim is kept under workspace and idempotency key. How long, and why an
-//! old key cannot run again:
+//! A claim is stored under workspace and idempotency key. How long it is kept, and
+//! why an old key cannot run again:
 //!
 //! - A claim whose outcome is known is kept whole for the retention time.
 //! - A key that is a UUID of version 7 carries the time at which it was made.
-//!   When its claim is dropped, keys made before that time are refused as
+//!   When its claim is removed, keys made before that time are refused as
 //!   expired from then on, whether they were seen or not.
 //! - Of any other key a fingerprint is kept for ever, so it is refused as
-//!   expired too. When there are [`MOST_FINGERPRINTS`], new bookings with such
-//!   keys are refused as not run; bookings with version 7 keys go on.
+//!   expired, too. At [`MAX_FINGERPRINTS`], new bookings with such keys are
+//!   refused as not run; bookings with version 7 keys are still accepted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,77 +20,85 @@
 
 use crate::answer;
 
-mod held;
 mod key_time;
+mod stored;
 
-use held::{Held, Phase};
+use stored::{Claim, Phase};
 
-/// Claims that are held at once, running or with a stored outcome.
-pub const MOST_CLAIMS: usize = 100_000;
+/// Most claims that are kept at once, running or with a stored outcome.
+pub const MAX_CLAIMS: usize = 100_000;
 
-/// Fingerprints of old keys that do not carry their time, 16 bytes each.
-pub const MOST_FINGERPRINTS: usize = 200_000;
+/// Most fingerprints of old keys that do not carry their time, 16 bytes each.
+pub const MAX_FINGERPRINTS: usize = 200_000;
 
-/// Bytes of stored answers over all claims. Above it the oldest answers are
-/// given up; a resend then learns that the booking may have run.
-pub const MOST_ANSWER_BYTES: usize = 64 << 20;
+/// Most bytes of stored answers over all claims.
+///
+/// Above it the oldest answers are evicted; a resend then learns that the booking may have run.
+pub const MAX_TOTAL_ANSWER_BYTES: usize = 64 << 20;
 
-/// Largest stored answer of one booking.
-pub const LARGEST_ANSWER: usize = 64 << 10;
+/// Largest stored answer of one booking, in bytes.
+pub const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Running claims that a dump lists.
-const LONGEST_DUMP: usize = 1_000;
+/// Most running claims that a dump lists.
+const MAX_DUMPED_CLAIMS: usize = 1_000;
 
-/// Longest idempotency key that is taken, in bytes.
-pub const LONGEST_KEY: usize = 256;
+/// Longest accepted idempotency key, in bytes.
+pub const MAX_KEY_BYTES: usize = 256;
 
-/// Time between looks for claims to drop; a look reads all of them.
-const SWEEP_PERIOD: u64 = 30_000;
+/// Time between two sweeps for expired claims, in milliseconds; a sweep reads all claims.
+const SWEEP_PERIOD_MILLIS: u64 = 30_000;
 
-/// Time beyond its deadline after which a running booking counts as unknown.
-/// The entry that ran it would long have told its outcome.
-const GRACE: u64 = 60_000;
+/// Time beyond its deadline after which a running booking counts as unknown, in milliseconds.
+///
+/// By then the entry that ran it should have reported the outcome.
+const CLOSE_GRACE_MILLIS: u64 = 60_000;
 
-/// Largest difference by which a caller's clock may run ahead. A key from
-/// further ahead does not count as one that carries its time.
-const CLOCK_AHEAD: u64 = 300_000;
+/// Largest time by which a caller's clock may run ahead, in milliseconds.
+///
+/// A key from further ahead does not count as one that carries its time.
+const MAX_CLOCK_AHEAD_MILLIS: u64 = 300_000;
 
-/// All claims.
+/// All claims, by workspace and idempotency key.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Claims {
-    held: BTreeMap<id::Workspace, BTreeMap<SmolStr, Held>>,
+    #[serde(rename = "held")]
+    by_workspace: BTreeMap<id::Workspace, BTreeMap<SmolStr, Claim>>,
     fingerprints: BTreeSet<(u64, u64)>,
-    next: u64,
+    /// Number of the last claim that was granted.
+    #[serde(rename = "next")]
+    last_claim: u64,
     count: usize,
     answer_bytes: usize,
-    swept: u64,
+    /// Time of the last sweep, in Unix milliseconds.
+    #[serde(rename = "swept")]
+    last_sweep: u64,
     /// Keys that carry a time before this one are expired.
     horizon: u64,
 }
 
-/// A step in a booking's life.
+/// A step in the life of a claim.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "content", rename_all = "snake_case")]
 pub enum Step {
-    /// An entry asks to run it.
+    /// An entry asks to run the booking.
     Open(claim::Open),
-    /// An entry tells how it ended.
+    /// An entry reports how the booking ended.
     Close(claim::Close),
 }
 
-/// How long claims run and are kept.
+/// How long bookings may run and claims are kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lifetimes {
-    /// Longest time that any booking runs.
+    /// Longest time that any booking may run.
     pub deadline: duration::Span,
-    /// Time that outcomes are kept.
+    /// Time for which outcomes are kept.
     pub retention: duration::Span,
 }
 
 impl Claims {
-    /// Takes one step at the time `at`.
-    pub fn apply(&mut self, at: u64, terms: Lifetimes, step: &Step) -> answer::Answer {
-        self.sweep(at, terms);
+    /// Applies one step at the Unix time `at`, in milliseconds.
+    pub fn apply(&mut self, at: u64, lifetimes: Lifetimes, step: &Step) -> answer::Answer {
+        self.sweep(at, lifetimes);
         match step {
             Step::Open(open) => self.open(at, open),
             Step::Close(close) => {
@@ -101,21 +109,21 @@
     }
 
     fn open(&mut self, at: u64, open: &claim::Open) -> answer::Answer {
-        if open.key.is_empty() || open.key.len() > LONGEST_KEY {
+        if open.key.is_empty() || open.key.len() > MAX_KEY_BYTES {
             let reason = "the idempotency key must have 1 to 256 bytes";
             return answer::Answer::Refused(reason.into());
         }
-        if let Some(held) = self.get(&open.workspace, &open.key) {
-            return answer::Answer::Claimed(held.verdict(open));
+        if let Some(stored) = self.get(&open.workspace, &open.key) {
+            return answer::Answer::Claimed(stored.verdict(open));
         }
-        match self.objection(at, open) {
+        match self.refusal(at, open) {
             Some(answer) => answer,
             None => answer::Answer::Claimed(self.grant(at, open)),
         }
     }
 
-    fn objection(&self, at: u64, open: &claim::Open) -> Option<answer::Answer> {
-        let time = timed(&open.key, at);
+    fn refusal(&self, at: u64, open: &claim::Open) -> Option<answer::Answer> {
+        let time = key_timestamp(&open.key, at);
         if time.is_some_and(|time| time < self.horizon) {
             return Some(answer::Answer::Claimed(claim::Verdict::Expired));
         }
@@ -125,139 +133,152 @@
         {
             return Some(answer::Answer::Claimed(claim::Verdict::Expired));
         }
-        if self.count >= MOST_CLAIMS {
+        if self.count >= MAX_CLAIMS {
             let reason = "too many bookings are kept; try again later";
             return Some(answer::Answer::Refused(reason.into()));
         }
-        let full = time.is_none() && self.fingerprints.len() >= MOST_FINGERPRINTS;
-        full.then(|| {
+        let fingerprints_full = time.is_none() && self.fingerprints.len() >= MAX_FINGERPRINTS;
+        fingerprints_full.then(|| {
             let reason = "no room for idempotency keys without a time; use UUIDs of version 7";
             answer::Answer::Refused(reason.into())
         })
     }
 
     fn grant(&mut self, at: u64, open: &claim::Open) -> claim::Verdict {
-        self.next += 1;
+        self.last_claim += 1;
         self.count += 1;
-        let held = Held {
-            claim: self.next,
+        let stored = Claim {
+            number: self.last_claim,
             body: open.body.clone(),
             instance: open.instance.clone(),
             boot: open.boot,
             at,
-            timed: timed(&open.key, at),
+            key_time: key_timestamp(&open.key, at),
             phase: Phase::Running,
         };
-        let workspace = self.held.entry(open.workspace.clone()).or_default();
-        workspace.insert(open.key.clone(), held);
-        claim::Verdict::Granted { claim: self.next }
+        let workspace = self.by_workspace.entry(open.workspace.clone()).or_default();
+        workspace.insert(open.key.clone(), stored);
+        claim::Verdict::Granted {
+            claim: self.last_claim,
+        }
     }
 
     fn close(&mut self, at: u64, close: &claim::Close) {
-        let Some(workspace) = self.held.get_mut(&close.workspace) else {
+        let Some(workspace) = self.by_workspace.get_mut(&close.workspace) else {
             return;
         };
-        let Some(held) = workspace.get_mut(&close.key) else {
+        let Some(stored) = workspace.get_mut(&close.key) else {
             return;
         };
-        // A close that was held up on its way must not settle a later claim of
-        // the same key, which another entry got after the first had not run.
-        if held.claim != close.claim || held.is_answered() {
+        // A delayed close must not end a later claim of the same key, which
+        // another entry was granted after the first booking had not run.
+        if stored.number != close.claim || stored.is_answered() {
             return;
         }
-        if matches!(close.outcome, claim::Outcome::NotRun) && held.is_running() {
+        if matches!(close.outcome, claim::Outcome::NotRun) && stored.is_running() {
             workspace.remove(&close.key);
             self.count -= 1;
             return;
         }
-        held.finish(at, &close.outcome);
-        self.answer_bytes += held.answer_bytes();
-        self.shed_answers();
+        stored.finish(at, &close.outcome);
+        self.answer_bytes += stored.answer_bytes();
+        self.evict_answers();
     }
 
-    /// Gives up stored answers, oldest first, until they fit.
-    fn shed_answers(&mut self) {
-        while self.answer_bytes > MOST_ANSWER_BYTES {
-            let all = self.held.values_mut().flat_map(BTreeMap::values_mut);
-            let answered = all.filter(|held| held.answer_bytes() > 0);
-            let Some(oldest) = answered.min_by_key(|held| held.at) else {
+    /// Evicts stored answers, oldest first, until they fit into the limit.
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > MAX_TOTAL_ANSWER_BYTES {
+            let all = self
+                .by_workspace
+                .values_mut()
+                .flat_map(BTreeMap::values_mut);
+            let answered = all.filter(|stored| stored.answer_bytes() > 0);
+            let Some(oldest) = answered.min_by_key(|stored| stored.at) else {
                 return;
             };
             self.answer_bytes -= oldest.answer_bytes();
-            oldest.give_up();
+            oldest.evict_answer();
         }
     }
 
-    /// The process that ran these bookings ended; how they ended is not known.
+    /// Marks the outcome of a process's running bookings as unknown, because the process ended.
     pub fn mark_unknown(&mut self, at: u64, instance: &id::Instance, boot: number::Boot) {
-        for held in self.held.values_mut().flat_map(BTreeMap::values_mut) {
-            if held.is_running() && held.instance == *instance && held.boot == boot {
-                held.finish(at, &claim::Outcome::Unknown);
+        for stored in self
+            .by_workspace
+            .values_mut()
+            .flat_map(BTreeMap::values_mut)
+        {
+            if stored.is_running() && stored.instance == *instance && stored.boot == boot {
+                stored.finish(at, &claim::Outcome::Unknown);
             }
         }
     }
 
-    fn sweep(&mut self, at: u64, terms: Lifetimes) {
-        if at < self.swept + SWEEP_PERIOD {
+    fn sweep(&mut self, at: u64, lifetimes: Lifetimes) {
+        if at < self.last_sweep + SWEEP_PERIOD_MILLIS {
             return;
         }
-        self.swept = at;
-        let overdue = at.saturating_sub(terms.deadline.0 / 1_000 + GRACE);
-        let expired = at.saturating_sub(terms.retention.0 / 1_000);
-        for held in self.held.values_mut().flat_map(BTreeMap::values_mut) {
-            if held.is_running() && held.at < overdue {
-                held.finish(at, &claim::Outcome::Unknown);
+        self.last_sweep = at;
+        let overdue = at.saturating_sub(lifetimes.deadline.0 / 1_000 + CLOSE_GRACE_MILLIS);
+        let expired = at.saturating_sub(lifetimes.retention.0 / 1_000);
+        for stored in self
+            .by_workspace
+            .values_mut()
+            .flat_map(BTreeMap::values_mut)
+        {
+            if stored.is_running() && stored.at < overdue {
+                stored.finish(at, &claim::Outcome::Unknown);
             }
         }
-        // Once moved on, the horizon stays, also when an operator lengthens the
-        // retention: claims before it may be gone.
+        // The horizon never moves back, even if an operator lengthens the
+        // retention: claims before it may already be removed.
         self.horizon = self.horizon.max(expired);
-        self.drop_expired(expired);
+        self.remove_expired(expired);
     }
 
-    fn drop_expired(&mut self, expired: u64) {
+    fn remove_expired(&mut self, expired: u64) {
         let horizon = self.horizon;
-        let mut dropped = Vec::new();
-        for (workspace, claims) in &self.held {
-            for (key, held) in claims {
-                let old = !held.is_running() && held.at < expired;
-                if old && held.timed.is_none_or(|time| time < horizon) {
-                    dropped.push((workspace.clone(), key.clone()));
+        let mut expired_keys = Vec::new();
+        for (workspace, claims) in &self.by_workspace {
+            for (key, stored) in claims {
+                let is_expired = !stored.is_running() && stored.at < expired;
+                if is_expired && stored.key_time.is_none_or(|time| time < horizon) {
+                    expired_keys.push((workspace.clone(), key.clone()));
                 }
             }
         }
-        for (workspace, key) in dropped {
-            self.drop_one(&workspace, &key);
+        for (workspace, key) in expired_keys {
+            self.remove_claim(&workspace, &key);
         }
-        self.held.retain(|_, claims| !claims.is_empty());
+        self.by_workspace.retain(|_, claims| !claims.is_empty());
     }
 
-    fn drop_one(&mut self, workspace: &id::Workspace, key: &SmolStr) {
-        let claims = self.held.get_mut(workspace);
-        let Some(held) = claims.and_then(|claims| claims.remove(key)) else {
+    fn remove_claim(&mut self, workspace: &id::Workspace, key: &SmolStr) {
+        let claims = self.by_workspace.get_mut(workspace);
+        let Some(stored) = claims.and_then(|claims| claims.remove(key)) else {
             return;
         };
         self.count -= 1;
-        self.answer_bytes -= held.answer_bytes();
-        if held.timed.is_none() {
+        self.answer_bytes -= stored.answer_bytes();
+        if stored.key_time.is_none() {
             self.fingerprints.insert(fingerprint(workspace, key));
         }
     }
 
-    fn get(&self, workspace: &id::Workspace, key: &str) -> Option<&Held> {
-        self.held.get(workspace)?.get(key)
+    fn get(&self, workspace: &id::Workspace, key: &str) -> Option<&Claim> {
+        self.by_workspace.get(workspace)?.get(key)
     }
 
-    /// Counts, and the claims that run, without anything of callers.
+    /// Returns counts and the running claims, without any content of callers.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
-        let all = self.held.iter();
-        let all =
-            all.flat_map(|(workspace, held)| held.values().map(move |held| (workspace, held)));
-        let running = all.filter(|(_, held)| held.is_running());
+        let all = self.by_workspace.iter();
+        let all = all
+            .flat_map(|(workspace, stored)| stored.values().map(move |stored| (workspace, stored)));
+        let running = all.filter(|(_, stored)| stored.is_running());
         let running: Vec<serde_json::Value> = running
-            .take(LONGEST_DUMP)
-            .map(|(workspace, held)| held.dump(workspace))
+            .take(MAX_DUMPED_CLAIMS)
+            .map(|(workspace, stored)| stored.dump(workspace))
             .collect();
         serde_json::json!({
             "count": self.count,
@@ -268,21 +289,21 @@
         })
     }
 
-    /// Claims that are held, running or with an outcome.
+    /// Returns the number of claims that are kept, running or with an outcome.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.count
     }
 
-    /// Fingerprints of old keys.
+    /// Returns the number of fingerprints of old keys.
     #[must_use]
     pub fn fingerprints(&self) -> usize {
         self.fingerprints.len()
     }
 }
 
-fn timed(key: &str, at: u64) -> Option<u64> {
-    key_time::of(key).filter(|time| *time <= at + CLOCK_AHEAD)
+fn key_timestamp(key: &str, at: u64) -> Option<u64> {
+    key_time::timestamp_millis(key).filter(|time| *time <= at + MAX_CLOCK_AHEAD_MILLIS)
 }
 
 fn fingerprint(workspace: &id::Workspace, key: &str) -> (u64, u64) {
--- a/crates/cranberrygap-state/src/claim/key_time.rs
+++ b/crates/cranberrygap-state/src/claim/key_time.rs
@@ -1,7 +1,7 @@
 //! The time that an idempotency key carries.
 
-/// Unix time in milliseconds of a UUID of version 7, `None` for other keys.
-pub(super) fn of(key: &str) -> Option<u64> {
+/// Returns the Unix time in milliseconds that a UUID of version 7 carries; `None` for other keys.
+pub(super) fn timestamp_millis(key: &str) -> Option<u64> {
     let groups: Vec<&str> = key.split('-').collect();
     let lengths: Vec<usize> = groups.iter().map(|group| group.len()).collect();
     if lengths != [8, 4, 4, 4, 12] || !groups[2].starts_with('7') {
--- a/crates/cranberrygap-state/src/claim/held.rs
+++ b/crates/cranberrygap-state/src/claim/stored.rs
@@ -1,23 +1,26 @@
-//! One claim.
+//! One stored claim.
 
 use cranberrygap_model::{id, number};
 use cranberrygap_wire::claim;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use super::LARGEST_ANSWER;
+use super::MAX_ANSWER_BYTES;
 
-/// One claim and how far it is.
+/// One claim and its progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Held {
-    pub(super) claim: u64,
+pub(super) struct Claim {
+    /// Number that identifies the claim.
+    #[serde(rename = "claim")]
+    pub(super) number: u64,
     pub(super) body: SmolStr,
     pub(super) instance: id::Instance,
     pub(super) boot: number::Boot,
-    /// When it was opened; when it ended once it has.
+    /// Time at which the claim was opened or, once the booking has ended, at which it ended.
     pub(super) at: u64,
-    /// The time that the key carries.
-    pub(super) timed: Option<u64>,
+    /// Time that the idempotency key carries, in Unix milliseconds.
+    #[serde(rename = "timed")]
+    pub(super) key_time: Option<u64>,
     pub(super) phase: Phase,
 }
 
@@ -28,15 +31,15 @@
     Ended(claim::Outcome),
 }
 
-impl Held {
-    /// What a further request with the same key learns.
+impl Claim {
+    /// Returns the answer to a further request with the same key.
     pub(super) fn verdict(&self, open: &claim::Open) -> claim::Verdict {
         if self.body != open.body {
             return claim::Verdict::Conflict;
         }
         match &self.phase {
-            // Also to the entry that was granted the claim: its first answer may
-            // be under way still, and with two grants the booking would run twice.
+            // Holds for the entry that was granted the claim, too: its first answer
+            // may still be on its way, and two grants would run the booking twice.
             Phase::Running => claim::Verdict::Running,
             Phase::Ended(outcome) => claim::Verdict::Stored {
                 outcome: outcome.clone(),
@@ -52,11 +55,12 @@
         matches!(self.phase, Phase::Ended(claim::Outcome::Answered(_)))
     }
 
-    /// Notes how it ended. "Not run" after "unknown" stays unknown: somebody may
-    /// have been told so already.
+    /// Records how the booking ended; "not run" after "unknown" stays unknown.
+    ///
+    /// A caller may already have been told that the outcome is unknown.
     pub(super) fn finish(&mut self, at: u64, outcome: &claim::Outcome) {
         let outcome = match outcome {
-            claim::Outcome::Answered(response) if response.body.len() <= LARGEST_ANSWER => {
+            claim::Outcome::Answered(response) if response.body.len() <= MAX_ANSWER_BYTES => {
                 outcome.clone()
             }
             _ => claim::Outcome::Unknown,
@@ -67,13 +71,13 @@
 
     pub(super) fn dump(&self, workspace: &id::Workspace) -> serde_json::Value {
         serde_json::json!({
-            "claim": self.claim, "workspace": workspace,
+            "claim": self.number, "workspace": workspace,
             "instance": self.instance, "boot": self.boot, "at": self.at,
         })
     }
 
-    /// Gives up the stored answer to make room.
-    pub(super) fn give_up(&mut self) {
+    /// Evicts the stored answer to free memory.
+    pub(super) fn evict_answer(&mut self) {
         self.phase = Phase::Ended(claim::Outcome::Unknown);
     }
 
--- a/crates/cranberrygap-state/src/command.rs
+++ b/crates/cranberrygap-state/src/command.rs
@@ -12,17 +12,17 @@
 
 /// A command and the leader's clock when it was proposed.
 ///
-/// Replicas never read their own clocks while they apply; they would come to
-/// different states.
+/// Replicas never read their own clocks while they apply commands, because they
+/// would reach different states.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
     /// Unix time in milliseconds.
     pub at: u64,
-    /// What shall change.
+    /// Command to apply.
     pub command: Command,
 }
 
-/// What shall change, by subject.
+/// A change of the state, by subject.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "subject", content = "step", rename_all = "snake_case")]
 pub enum Command {
@@ -34,13 +34,13 @@
     Key(key::Step),
     /// Endpoints and their health.
     Endpoint(endpoint::Step),
-    /// Entries and controls.
+    /// Entries and control processes.
     Member(member::Step),
-    /// Bookings.
+    /// Claims of bookings.
     Claim(claim::Step),
     /// Requests that crash endpoints.
     Quarantine(quarantine::Step),
-    /// A change of the replicated group, noted once it was made.
+    /// A change of the replicated group, recorded after it was made.
     Group(group::Step),
     /// Shares of the workspaces' rates and bursts.
     Share(share::Step),
@@ -50,14 +50,14 @@
     Order(journal::Record),
     /// A new traffic plan.
     Traffic(Box<traffic::Step>),
-    /// Models and adapters that move at an endpoint.
+    /// Models and adapters that are being loaded or dropped at an endpoint.
     Residency(view::Residency),
-    /// Takes an entry, control or endpoint out of service by its name.
+    /// Takes an entry, control process or endpoint out of service by its name.
     Drain(operator::Drain),
 }
 
 impl Command {
-    /// Who asks, for commands of operators; these are remembered by change id.
+    /// Returns the operator who asks; answers to operators are remembered by change id.
     #[must_use]
     pub const fn author(&self) -> Option<&operator::Author> {
         match self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What the command is about, in a word.
+    /// Returns the subject of the command, in a word.
     #[must_use]
     pub const fn subject(&self) -> &'static str {
         match self {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// What the command is about, in a few words for the history.
+    /// Returns a description of the command, in a few words for the history.
     #[must_use]
     pub fn summary(&self) -> SmolStr {
         match self {
--- a/crates/cranberrygap-state/src/configuration.rs
+++ b/crates/cranberrygap-state/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The fleet's configuration: defaults and exceptions, by compare-and-set.
+//! The fleet's configuration: defaults and exceptions, replaced by compare-and-set.
 
 use std::collections::VecDeque;
 
@@ -10,39 +10,40 @@
 use crate::answer;
 
 mod facts;
-mod promise;
 mod reader;
+mod validation;
 
 pub use facts::Facts;
 pub use reader::read;
 
-/// Accepted configurations that are kept for reading.
-const MOST_PAGES: usize = 256;
+/// Most accepted configurations that are kept for reading.
+const MAX_PAGES: usize = 256;
 
-/// Bytes of kept configurations.
-const MOST_BYTES: usize = 2 << 20;
+/// Most bytes of kept configurations.
+const MAX_PAGES_BYTES: usize = 2 << 20;
 
-/// Largest text of one configuration, in bytes. Text and what was read from it
-/// are one command, which must fit into one proposal.
-pub const LARGEST_TEXT: usize = 128 << 10;
+/// Largest text of one configuration, in bytes.
+///
+/// The text and its parsed form are one command, which must fit into one proposal.
+pub const MAX_TEXT_BYTES: usize = 128 << 10;
 
-/// The configuration in force and those before it.
+/// The configuration in force and earlier ones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct State {
     current: configuration::Configuration,
     pages: VecDeque<operator::Page>,
 }
 
-/// A new configuration, already read and checked by the leader.
+/// A new configuration, which the leader has already parsed and validated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Who asks and why.
+    /// Operator that asks, and the reason.
     pub author: operator::Author,
-    /// Revision that it replaces.
+    /// Revision that this configuration replaces.
     pub expect: number::Revision,
-    /// The text as it was written.
+    /// Text as the operator wrote it.
     pub text: SmolStr,
-    /// What was read from it; its revision is set when it is applied.
+    /// Parsed text; its revision is set when it is applied.
     pub configuration: configuration::Configuration,
 }
 
@@ -60,10 +61,10 @@
 }
 
 impl State {
-    /// Takes a configuration if it replaces the current one.
+    /// Accepts a configuration if it replaces the current revision.
     ///
-    /// Two operators may both read revision N, and both apply. Without the
-    /// comparison the later one would undo the earlier one unseen.
+    /// Two operators may both read revision N, and both apply a change. Without the
+    /// comparison the later one would silently undo the earlier one.
     pub fn apply(
         &mut self,
         revision: number::Revision,
@@ -83,7 +84,7 @@
             author: step.author.clone(),
             text: step.text.clone(),
         });
-        self.forget_oldest();
+        self.evict_oldest();
         let applied = operator::Applied::Accepted { revision };
         let changes = vec![view::Change::Configured { configuration }];
         (answer::Answer::Applied(applied), changes)
@@ -91,14 +92,14 @@
 
     fn conflict(&self) -> operator::Applied {
         let winner = self.pages.back().map(|page| page.author.clone());
-        let nobody = || operator::Author {
+        let no_author = || operator::Author {
             change: "none"
                 .parse::<id::Change>()
                 .expect("a plain word is a name"),
             by: SmolStr::default(),
             why: SmolStr::default(),
         };
-        let winner = winner.unwrap_or_else(nobody);
+        let winner = winner.unwrap_or_else(no_author);
         operator::Applied::Conflict {
             current: self.revision(),
             by: winner.by,
@@ -106,7 +107,7 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.pages.len() > 1 && self.is_full() {
             self.pages.pop_front();
         }
@@ -114,22 +115,22 @@
 
     fn is_full(&self) -> bool {
         let bytes: usize = self.pages.iter().map(|page| page.text.len()).sum();
-        self.pages.len() > MOST_PAGES || bytes > MOST_BYTES
+        self.pages.len() > MAX_PAGES || bytes > MAX_PAGES_BYTES
     }
 
-    /// Revision of the current configuration; 0 before the first.
+    /// Returns the revision of the current configuration; 0 before the first.
     #[must_use]
     pub const fn revision(&self) -> number::Revision {
         self.current.revision
     }
 
-    /// The current configuration.
+    /// Returns the current configuration.
     #[must_use]
     pub const fn current(&self) -> &configuration::Configuration {
         &self.current
     }
 
-    /// An accepted configuration that is still kept; the latest for `None`.
+    /// Returns an accepted configuration that is still kept; the latest for `None`.
     #[must_use]
     pub fn page(&self, revision: Option<number::Revision>) -> Option<&operator::Page> {
         let Some(revision) = revision else {
@@ -138,7 +139,7 @@
         self.pages.iter().find(|page| page.revision == revision)
     }
 
-    /// Revisions that are kept, oldest first.
+    /// Returns the revisions that are kept, oldest first.
     pub fn revisions(&self) -> impl Iterator<Item = number::Revision> + '_ {
         self.pages.iter().map(|page| page.revision)
     }
--- a/crates/cranberrygap-state/src/configuration/reader.rs
+++ b/crates/cranberrygap-state/src/configuration/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' text; any mistake refuses it whole.
+//! Parses the operators' text; any mistake refuses the whole text.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 use smol_str::SmolStr;
 
 use super::facts::Facts;
-use super::{LARGEST_TEXT, promise};
+use super::{MAX_TEXT_BYTES, validation};
 
 const DEFAULTS: &str = "defaults";
 const EXCEPTION: &str = "exception";
-const SECTION_FORM: &str =
+const EXPECTED_SECTIONS: &str =
     "[defaults] or [exception workspace NAME], [exception model NAME], [exception service NAME]";
 
 /// Keys that each kind of exception may set, besides its reason.
@@ -24,7 +24,7 @@
     "idempotent",
 ];
 
-/// Sections read so far, with what was wrong.
+/// Sections parsed so far, and the mistakes found in them.
 #[derive(Debug, Default)]
 pub(super) struct Draft {
     pub(super) defaults: Option<(ini::Table, configuration::Defaults)>,
@@ -32,14 +32,14 @@
     pub(super) mistakes: Vec<operator::Mistake>,
 }
 
-/// Reads a configuration and holds its promises against `facts`.
+/// Parses a configuration and validates it against what the fleet has.
 ///
 /// # Errors
 ///
 /// Every mistake, with line, section, key and what to write instead.
 pub fn read(text: &str, facts: &Facts) -> Result<configuration::Configuration, ini::Mistakes> {
-    if text.len() > LARGEST_TEXT {
-        return Err(ini::Mistakes(vec![too_large(text.len())]));
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(ini::Mistakes(vec![text_too_large(text.len())]));
     }
     let mut draft = Draft::default();
     let mut seen = BTreeSet::new();
@@ -51,7 +51,7 @@
         }
         draft.add(table);
     }
-    promise::check(&mut draft, facts);
+    validation::check(&mut draft, facts);
     draft.finish()
 }
 
@@ -65,14 +65,15 @@
                     let name = SmolStr::new(name);
                     self.add_exception(table, target, &name);
                 }
-                Err(_cause) => self.refuse(&table),
+                Err(_cause) => self.reject_section(&table),
             },
-            _ => self.refuse(&table),
+            _ => self.reject_section(&table),
         }
     }
 
-    fn refuse(&mut self, table: &ini::Table) {
-        self.mistakes.push(table.mistake(SECTION_FORM.to_owned()));
+    fn reject_section(&mut self, table: &ini::Table) {
+        self.mistakes
+            .push(table.mistake(EXPECTED_SECTIONS.to_owned()));
     }
 
     fn add_defaults(&mut self, table: ini::Table) {
@@ -83,25 +84,25 @@
     }
 
     fn add_exception(&mut self, table: ini::Table, target: configuration::Target, name: &SmolStr) {
-        let known = known_keys(target);
-        let mut fitting = table.clone();
-        fitting.entries.clear();
+        let allowed = allowed_keys(target);
+        let mut accepted = table.clone();
+        accepted.entries.clear();
         for entry in &table.entries {
-            if entry.key == "reason" || known.contains(&entry.key.as_str()) {
-                fitting.entries.push(entry.clone());
+            if entry.key == "reason" || allowed.contains(&entry.key.as_str()) {
+                accepted.entries.push(entry.clone());
                 continue;
             }
-            let expected = format!("one of the keys reason, {}", known.join(", "));
+            let expected = format!("one of the keys reason, {}", allowed.join(", "));
             self.mistakes.push(table.wrong(entry, expected));
         }
         for (key, value) in [("target", target.to_string()), ("name", name.to_string())] {
-            fitting.entries.push(ini::Entry {
+            accepted.entries.push(ini::Entry {
                 key: key.into(),
                 value: value.into(),
                 line: table.line,
             });
         }
-        match ini::record(&fitting, &ini::Schema::configuration(), "Exception") {
+        match ini::record(&accepted, &ini::Schema::configuration(), "Exception") {
             Ok(exception) => self.exceptions.push((table, exception)),
             Err(ini::Mistakes(mistakes)) => self.mistakes.extend(mistakes),
         }
@@ -122,7 +123,7 @@
     }
 }
 
-const fn known_keys(target: configuration::Target) -> &'static [&'static str] {
+const fn allowed_keys(target: configuration::Target) -> &'static [&'static str] {
     match target {
         configuration::Target::Workspace => &WORKSPACE_KEYS,
         configuration::Target::Model => &MODEL_KEYS,
@@ -130,12 +131,12 @@
     }
 }
 
-fn too_large(size: usize) -> operator::Mistake {
+fn text_too_large(size: usize) -> operator::Mistake {
     operator::Mistake {
         line: 0,
         section: SmolStr::default(),
         key: SmolStr::default(),
         found: format!("{size} bytes").into(),
-        expected: format!("at most {LARGEST_TEXT} bytes").into(),
+        expected: format!("at most {MAX_TEXT_BYTES} bytes").into(),
     }
 }
--- a/crates/cranberrygap-state/src/configuration/promise.rs
+++ b/crates/cranberrygap-state/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Refuses promises that cannot be kept.
+//! Validates a parsed configuration against what the fleet has.
 
 use std::collections::BTreeMap;
 
@@ -10,25 +10,25 @@
 
 const METHODS: [&str; 5] = ["GET", "HEAD", "POST", "PUT", "DELETE"];
 
-/// Adds a mistake for each promise that the fleet cannot keep.
+/// Adds a mistake for each value that the fleet cannot support.
 pub(super) fn check(draft: &mut Draft, facts: &Facts) {
     let defaults = draft.defaults.as_ref();
-    let plain = configuration::Defaults::default();
-    let effective = defaults.map_or(&plain, |(_, defaults)| defaults);
+    let default_values = configuration::Defaults::default();
+    let effective = defaults.map_or(&default_values, |(_, defaults)| defaults);
     let mut mistakes = Vec::new();
     if let Some((table, defaults)) = defaults {
-        mistakes.extend(times(table, defaults));
-        mistakes.extend(room(table, defaults, facts));
-        mistakes.extend(largest_request(table, defaults.burst, defaults.max_tokens));
+        mistakes.extend(check_times(table, defaults));
+        mistakes.extend(check_cache_reserve(table, defaults, facts));
+        mistakes.extend(check_burst(table, defaults.burst, defaults.max_tokens));
     }
     for (table, exception) in &draft.exceptions {
-        mistakes.extend(exceptional(table, exception, effective, facts));
+        mistakes.extend(check_exception(table, exception, effective, facts));
     }
-    mistakes.extend(capacity(draft, effective, facts));
+    mistakes.extend(check_capacity(draft, effective, facts));
     draft.mistakes.extend(mistakes);
 }
 
-fn exceptional(
+fn check_exception(
     table: &ini::Table,
     exception: &configuration::Exception,
     defaults: &configuration::Defaults,
@@ -38,18 +38,20 @@
         configuration::Target::Workspace => {
             let burst = exception.burst.unwrap_or(defaults.burst);
             let tokens = exception.max_tokens.unwrap_or(defaults.max_tokens);
-            largest_request(table, burst, tokens).into_iter().collect()
+            check_burst(table, burst, tokens).into_iter().collect()
         }
-        configuration::Target::Model => too_large(table, exception, defaults, facts)
+        configuration::Target::Model => check_model_size(table, exception, defaults, facts)
             .into_iter()
             .collect(),
-        configuration::Target::Service => patterns(table, exception),
+        configuration::Target::Service => check_idempotent_patterns(table, exception),
     }
 }
 
-/// A request that names no bound takes `max_tokens` out of the burst; with a
-/// smaller burst it could never be admitted, and its caller would retry for ever.
-fn largest_request(table: &ini::Table, burst: u64, max_tokens: u64) -> Option<operator::Mistake> {
+/// Checks that a burst covers the largest request.
+///
+/// A request without its own bound takes `max_tokens` out of the burst. With a smaller
+/// burst it could never be admitted, and its caller would retry for ever.
+fn check_burst(table: &ini::Table, burst: u64, max_tokens: u64) -> Option<operator::Mistake> {
     if burst >= max_tokens {
         return None;
     }
@@ -58,7 +60,7 @@
     Some(table.wrong(entry, expected))
 }
 
-fn times(table: &ini::Table, defaults: &configuration::Defaults) -> Vec<operator::Mistake> {
+fn check_times(table: &ini::Table, defaults: &configuration::Defaults) -> Vec<operator::Mistake> {
     let mut mistakes = Vec::new();
     let deadline = defaults.request_deadline;
     for (key, span) in [
@@ -82,7 +84,7 @@
             mistakes.push(table.wrong(entry, "a time above 0s".to_owned()));
         }
     }
-    // A claim must outlive the booking that it stands for.
+    // A claim must be kept longer than its booking may run.
     if let Some(entry) = table.get("claim_retention")
         && defaults.claim_retention < defaults.booking_deadline
     {
@@ -93,7 +95,7 @@
     mistakes
 }
 
-fn room(
+fn check_cache_reserve(
     table: &ini::Table,
     defaults: &configuration::Defaults,
     facts: &Facts,
@@ -104,7 +106,7 @@
     (defaults.cache_reserve >= largest).then(|| table.wrong(entry, expected))
 }
 
-fn too_large(
+fn check_model_size(
     table: &ini::Table,
     exception: &configuration::Exception,
     defaults: &configuration::Defaults,
@@ -122,16 +124,22 @@
     Some(table.mistake(expected))
 }
 
-fn patterns(table: &ini::Table, exception: &configuration::Exception) -> Vec<operator::Mistake> {
+fn check_idempotent_patterns(
+    table: &ini::Table,
+    exception: &configuration::Exception,
+) -> Vec<operator::Mistake> {
     let Some(entry) = table.get("idempotent") else {
         return Vec::new();
     };
-    let fits = |pattern: &str| {
+    let is_valid = |pattern: &str| {
         let (method, path) = pattern.split_once(' ').unwrap_or_default();
         METHODS.contains(&method) && path.starts_with('/')
     };
-    let wrong = exception.idempotent.iter().filter(|pattern| !fits(pattern));
-    wrong
+    let invalid = exception
+        .idempotent
+        .iter()
+        .filter(|pattern| !is_valid(pattern));
+    invalid
         .map(|pattern| {
             let expected = format!("a method and a path such as GET /lookup/* for \"{pattern}\"");
             table.wrong(entry, expected)
@@ -139,9 +147,10 @@
         .collect()
 }
 
-/// The rates of all workspaces together may not be above the capacity, or some
-/// workspace would be refused although it is within its rate.
-fn capacity(
+/// Checks that the rates of all workspaces together do not exceed the capacity.
+///
+/// Otherwise some workspace would be refused although it is within its rate.
+fn check_capacity(
     draft: &Draft,
     defaults: &configuration::Defaults,
     facts: &Facts,
--- a/crates/cranberrygap-state/src/change.rs
+++ b/crates/cranberrygap-state/src/deduplication.rs
@@ -1,4 +1,4 @@
-//! First answers by change id, so that a resend gets the first answer.
+//! First answers by change id, so that a resent change gets its first answer.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,64 +9,65 @@
 use crate::answer;
 use crate::command;
 
-/// Answers that are kept: five days at the planned 1,600 changes a day. A
-/// resend comes within minutes.
-const MOST_ANSWERS: usize = 8_192;
+/// Most answers that are kept: five days at the planned 1,600 changes a day.
+///
+/// A resend arrives within minutes.
+const MAX_ANSWERS: usize = 8_192;
 
-/// Answers of the latest changes.
+/// Answers to the latest changes, by change id.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
-    answers: BTreeMap<id::Change, First>,
+pub struct Answers {
+    answers: BTreeMap<id::Change, StoredAnswer>,
     order: VecDeque<id::Change>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct First {
+struct StoredAnswer {
     digest: SmolStr,
     answer: answer::Answer,
 }
 
-impl Memory {
-    /// The first answer to `change`, if it was taken before.
+impl Answers {
+    /// Returns the first answer to `change`, if it was received before.
     ///
-    /// An operator whose answer was lost sends the change again, maybe over
-    /// another connection. Applied twice it would conflict with itself, and the
-    /// operator would take an accepted change for a refused one.
+    /// An operator whose answer was lost sends the change again, possibly over another
+    /// connection. A second application would conflict with the first, and the operator
+    /// would take an accepted change for a refused one.
     #[must_use]
-    pub fn recall(
+    pub fn first_answer(
         &self,
         change: &id::Change,
         command: &command::Command,
     ) -> Option<answer::Answer> {
-        let first = self.answers.get(change)?;
-        if first.digest == digest(command) {
-            return Some(first.answer.clone());
+        let stored = self.answers.get(change)?;
+        if stored.digest == digest(command) {
+            return Some(stored.answer.clone());
         }
         let refusal = "this change id was used for another change";
         Some(answer::Answer::Refused(refusal.into()))
     }
 
-    /// Whether a change was taken before.
+    /// Returns whether a change was received before.
     #[must_use]
     pub fn contains(&self, change: &id::Change) -> bool {
         self.answers.contains_key(change)
     }
 
-    /// Keeps the answer to `change`.
-    pub fn keep(
+    /// Stores the answer to `change`.
+    pub fn insert(
         &mut self,
         change: &id::Change,
         command: &command::Command,
         answer: &answer::Answer,
     ) {
-        let first = First {
+        let stored = StoredAnswer {
             digest: digest(command),
             answer: answer.clone(),
         };
-        if self.answers.insert(change.clone(), first).is_none() {
+        if self.answers.insert(change.clone(), stored).is_none() {
             self.order.push_back(change.clone());
         }
-        while self.order.len() > MOST_ANSWERS {
+        while self.order.len() > MAX_ANSWERS {
             if let Some(oldest) = self.order.pop_front() {
                 self.answers.remove(&oldest);
             }
--- a/crates/cranberrygap-state/src/endpoint.rs
+++ b/crates/cranberrygap-state/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as they announced themselves, and their health.
+//! Endpoints that announced themselves, and their health.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,55 +9,58 @@
 
 use crate::answer;
 
-/// Endpoints that are taken; seven times the planned number.
-const MOST_ENDPOINTS: usize = 4_096;
+/// Most endpoints that are kept: seven times the planned number.
+const MAX_ENDPOINTS: usize = 4_096;
 
-/// Earlier boots that are remembered for each endpoint. An announcement of an
-/// earlier process may arrive after the next process announced itself; by its
-/// boot it is known to be old. More restarts than this within the life of one
-/// late message do not happen.
-const FORMER_BOOTS: usize = 8;
+/// Most earlier boots that are remembered for each endpoint.
+///
+/// An announcement of an earlier process may arrive after the next process announced
+/// itself; its boot shows that it is stale. An endpoint does not restart more often
+/// than this while one late message is on its way.
+const MAX_FORMER_BOOTS: usize = 8;
 
-/// Endpoints that left and are remembered, so that a late heartbeat of one does not
-/// bring it back. A heartbeat is late by seconds, and far fewer leave within those.
-const MOST_DEPARTED: usize = 512;
+/// Most endpoints that left and are remembered, so that a late heartbeat does not restore one.
+///
+/// A heartbeat is late by seconds, and far fewer endpoints leave within that time.
+const MAX_DEPARTED: usize = 512;
 
-/// All endpoints.
+/// All endpoints, by name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Endpoints {
-    endpoints: BTreeMap<id::Endpoint, Known>,
-    /// Boots that are gone for good, oldest first.
+    endpoints: BTreeMap<id::Endpoint, Registration>,
+    /// Boots that have left for good, oldest first.
     #[serde(default)]
     departed: VecDeque<(id::Endpoint, number::Boot)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Known {
+struct Registration {
     announcement: endpoint::Announcement,
     health: view::Health,
-    /// An operator took it out of service; ends with the next boot.
+    /// Whether an operator took the endpoint out of service; reset by the next boot.
     drained: bool,
-    former: SmallVec<[number::Boot; 2]>,
+    #[serde(rename = "former")]
+    former_boots: SmallVec<[number::Boot; 2]>,
 }
 
-/// News of an endpoint.
+/// A change of an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "content", rename_all = "snake_case")]
 pub enum Step {
-    /// It announced itself with new content.
+    /// The endpoint announced itself with new content.
     Announced(Box<endpoint::Announcement>),
-    /// Nothing was heard of it for longer than the silence limit.
+    /// Nothing was heard from the endpoint for longer than the silence limit.
     Silent(view::Seen),
-    /// It was heard again.
+    /// The endpoint was heard again.
     Heard(view::Seen),
-    /// It left, or was silent for so long that it is forgotten.
+    /// The endpoint left, or was silent for so long that it is removed.
     Forgotten(view::Seen),
-    /// It said that it leaves, without telling which process of that name it is.
+    /// The endpoint said that it leaves, without the boot of the process that left.
     Departed(id::Endpoint),
 }
 
 impl Endpoints {
-    /// Takes news of an endpoint; old news changes nothing.
+    /// Applies a change of an endpoint; a stale one changes nothing.
     pub fn apply(&mut self, step: &Step) -> (answer::Answer, Vec<view::Change>) {
         let change = match step {
             Step::Announced(announcement) => {
@@ -66,10 +69,10 @@
                     Err(reason) => (answer::Answer::Refused(reason.into()), Vec::new()),
                 };
             }
-            Step::Silent(seen) => self.turn(seen, view::Health::Suspect),
-            Step::Heard(seen) => self.turn(seen, view::Health::Ready),
-            Step::Forgotten(seen) => self.forget(seen),
-            Step::Departed(name) => self.depart(name),
+            Step::Silent(seen) => self.set_health(seen, view::Health::Suspect),
+            Step::Heard(seen) => self.set_health(seen, view::Health::Ready),
+            Step::Forgotten(seen) => self.remove_if_current(seen),
+            Step::Departed(name) => self.remove_departed(name),
         };
         (answer::Answer::Done, change.into_iter().collect())
     }
@@ -83,68 +86,71 @@
             return Ok(Vec::new());
         }
         if let Some(known) = self.endpoints.get(name) {
-            if known.is_old(announcement) {
+            if known.is_stale(announcement) {
                 return Ok(Vec::new());
             }
-        } else if self.endpoints.len() >= MOST_ENDPOINTS {
+        } else if self.endpoints.len() >= MAX_ENDPOINTS {
             return Err("there are too many endpoints");
         }
-        let Ok(mut changes) = self.clear_address(announcement) else {
+        let Ok(mut changes) = self.release_address(announcement) else {
             return Ok(Vec::new());
         };
-        changes.push(self.keep(announcement));
+        changes.push(self.register(announcement));
         Ok(changes)
     }
 
-    fn keep(&mut self, announcement: &endpoint::Announcement) -> view::Change {
+    fn register(&mut self, announcement: &endpoint::Announcement) -> view::Change {
         let name = announcement.endpoint.clone();
-        let known = self.endpoints.entry(name).or_insert_with(|| Known {
+        let known = self.endpoints.entry(name).or_insert_with(|| Registration {
             announcement: announcement.clone(),
             health: health(announcement, false),
             drained: false,
-            former: SmallVec::new(),
+            former_boots: SmallVec::new(),
         });
-        known.renew(announcement);
-        changed(known)
+        known.update(announcement);
+        change_of(known)
     }
 
-    /// Takes out who was at the address before; fails if a later one is there.
+    /// Removes the endpoints that had the address before; fails if a later one has it.
     ///
-    /// An address may be used again, and a heartbeat may come so late that its
-    /// sender is gone and another endpoint is at its address. Sent there, requests
-    /// would reach a process that serves something else. Of two that claim one
-    /// address the one that started later is there.
-    fn clear_address(
+    /// An address may be reused, and a heartbeat may arrive so late that its sender is gone
+    /// and another endpoint has its address. Requests sent there would reach a process that
+    /// serves something else. Of two endpoints that claim one address, the one that started
+    /// later has it.
+    fn release_address(
         &mut self,
         announcement: &endpoint::Announcement,
-    ) -> Result<Vec<view::Change>, Later> {
+    ) -> Result<Vec<view::Change>, AddressTaken> {
         let Some(started) = started(announcement) else {
             return Ok(Vec::new());
         };
-        let claims = |known: &&Known| {
+        let has_address = |known: &&Registration| {
             known.announcement.address == announcement.address
                 && known.announcement.endpoint != announcement.endpoint
         };
-        let others: Vec<&Known> = self.endpoints.values().filter(claims).collect();
+        let others: Vec<&Registration> = self.endpoints.values().filter(has_address).collect();
         if others
             .iter()
-            .any(|other| started_of(&other.announcement) > started)
+            .any(|other| started_or_default(&other.announcement) > started)
         {
-            return Err(Later);
+            return Err(AddressTaken);
         }
         let names = others
             .iter()
             .map(|other| other.announcement.endpoint.clone());
         let names: Vec<id::Endpoint> = names.collect();
-        Ok(names.iter().filter_map(|name| self.depart(name)).collect())
+        Ok(names
+            .iter()
+            .filter_map(|name| self.remove_departed(name))
+            .collect())
     }
 
-    /// Takes an endpoint out for good; its process does not come back.
-    fn depart(&mut self, name: &id::Endpoint) -> Option<view::Change> {
+    /// Removes an endpoint for good; its process does not return.
+    fn remove_departed(&mut self, name: &id::Endpoint) -> Option<view::Change> {
         let known = self.endpoints.remove(name)?;
         self.departed
             .push_back((name.clone(), known.announcement.boot));
-        while self.departed.len() > MOST_DEPARTED {
+        while self.departed.len() > MAX_DEPARTED {
             self.departed.pop_front();
         }
         let endpoint = name.clone();
@@ -157,30 +163,30 @@
             .any(|(gone, at)| gone == name && *at == boot)
     }
 
-    fn turn(&mut self, seen: &view::Seen, health: view::Health) -> Option<view::Change> {
-        let known = self.current(seen)?;
-        let usable = matches!(known.health, view::Health::Ready | view::Health::Suspect);
-        if !usable || known.health == health {
+    fn set_health(&mut self, seen: &view::Seen, health: view::Health) -> Option<view::Change> {
+        let known = self.current_registration(seen)?;
+        let in_service = matches!(known.health, view::Health::Ready | view::Health::Suspect);
+        if !in_service || known.health == health {
             return None;
         }
         known.health = health;
-        Some(changed(known))
+        Some(change_of(known))
     }
 
-    fn forget(&mut self, seen: &view::Seen) -> Option<view::Change> {
-        self.current(seen)?;
+    fn remove_if_current(&mut self, seen: &view::Seen) -> Option<view::Change> {
+        self.current_registration(seen)?;
         self.endpoints.remove(&seen.endpoint);
         let endpoint = seen.endpoint.clone();
         Some(view::Change::EndpointRemoved { endpoint })
     }
 
-    /// The endpoint, if the news is of its current process.
-    fn current(&mut self, seen: &view::Seen) -> Option<&mut Known> {
+    /// Returns the registration, if the message is from its current process.
+    fn current_registration(&mut self, seen: &view::Seen) -> Option<&mut Registration> {
         let known = self.endpoints.get_mut(&seen.endpoint)?;
-        let same = known.announcement.boot == seen.boot;
-        // News from before the latest announcement: it was heard since.
-        let fresh = known.announcement.sequence <= seen.sequence;
-        (same && fresh).then_some(known)
+        let is_same_boot = known.announcement.boot == seen.boot;
+        // An older sequence is from before the latest announcement: it was heard since.
+        let is_latest = known.announcement.sequence <= seen.sequence;
+        (is_same_boot && is_latest).then_some(known)
     }
 
     /// Takes an endpoint out of service until its next boot.
@@ -188,27 +194,27 @@
         let known = self.endpoints.get_mut(name)?;
         known.drained = true;
         known.health = view::Health::Leaving;
-        Some(vec![changed(known)])
+        Some(vec![change_of(known)])
     }
 
-    /// Whether an endpoint is known.
+    /// Returns whether an endpoint is known.
     #[must_use]
     pub fn contains(&self, name: &id::Endpoint) -> bool {
         self.endpoints.contains_key(name)
     }
 
-    /// One endpoint.
+    /// Returns one endpoint.
     #[must_use]
     pub fn get(&self, name: &id::Endpoint) -> Option<view::Endpoint> {
-        self.endpoints.get(name).map(Known::shown)
+        self.endpoints.get(name).map(Registration::to_view)
     }
 
-    /// All endpoints by name.
+    /// Returns all endpoints by name.
     pub fn iter(&self) -> impl Iterator<Item = view::Endpoint> + '_ {
-        self.endpoints.values().map(Known::shown)
+        self.endpoints.values().map(Registration::to_view)
     }
 
-    /// Announcements with health, without copying.
+    /// Returns announcements with health, without copying.
     pub fn announcements(&self) -> impl Iterator<Item = (&endpoint::Announcement, view::Health)> {
         self.endpoints
             .values()
@@ -216,20 +222,20 @@
     }
 }
 
-impl Known {
-    fn is_old(&self, news: &endpoint::Announcement) -> bool {
-        if news.boot == self.announcement.boot {
-            return news.sequence <= self.announcement.sequence;
+impl Registration {
+    fn is_stale(&self, other: &endpoint::Announcement) -> bool {
+        if other.boot == self.announcement.boot {
+            return other.sequence <= self.announcement.sequence;
         }
-        let began_before = started(news) < started(&self.announcement);
-        began_before || self.former.contains(&news.boot)
+        let started_before = started(other) < started(&self.announcement);
+        started_before || self.former_boots.contains(&other.boot)
     }
 
-    fn renew(&mut self, announcement: &endpoint::Announcement) {
+    fn update(&mut self, announcement: &endpoint::Announcement) {
         if announcement.boot != self.announcement.boot {
-            self.former.push(self.announcement.boot);
-            if self.former.len() > FORMER_BOOTS {
-                self.former.remove(0);
+            self.former_boots.push(self.announcement.boot);
+            if self.former_boots.len() > MAX_FORMER_BOOTS {
+                self.former_boots.remove(0);
             }
             self.drained = false;
         }
@@ -237,7 +243,7 @@
         self.health = health(announcement, self.drained);
     }
 
-    fn shown(&self) -> view::Endpoint {
+    fn to_view(&self) -> view::Endpoint {
         view::Endpoint {
             announcement: self.announcement.clone(),
             health: self.health,
@@ -245,15 +251,15 @@
     }
 }
 
-/// A later endpoint holds the address.
+/// Error: an endpoint that started later has the address.
 #[derive(Debug)]
-struct Later;
+struct AddressTaken;
 
 fn started(announcement: &endpoint::Announcement) -> Option<u64> {
     announcement.details.as_ref().map(|details| details.started)
 }
 
-fn started_of(announcement: &endpoint::Announcement) -> u64 {
+fn started_or_default(announcement: &endpoint::Announcement) -> u64 {
     started(announcement).unwrap_or_default()
 }
 
@@ -264,8 +270,8 @@
     }
 }
 
-fn changed(known: &Known) -> view::Change {
+fn change_of(known: &Registration) -> view::Change {
     view::Change::EndpointChanged {
-        endpoint: known.shown(),
+        endpoint: known.to_view(),
     }
 }
--- a/crates/cranberrygap-state/src/fleet.rs
+++ b/crates/cranberrygap-state/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The whole replicated state.
+//! The whole replicated state of the fleet.
 
 use cranberrygap_model::{duration, number, size};
 use cranberrygap_placement::journal;
@@ -7,35 +7,35 @@
 use smol_str::SmolStr;
 
 use crate::{
-    answer, audit, catalogue, change, claim, command, configuration, endpoint, fact, history, key,
-    lender, member, quarantine, residency, share, traffic,
+    answer, audit, audit_event, catalogue, claim, command, configuration, deduplication, endpoint,
+    history, key, lender, member, quarantine, residency, share, traffic,
 };
 
-/// Everything that the fleet has agreed on.
+/// Replicated state of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Position of the last command that was applied.
+    /// Index of the last command that was applied.
     pub revision: number::Revision,
-    /// Position of the last command from which entries learned something.
+    /// Index of the last command that changed the view of entries.
     #[serde(rename = "seen")]
     pub view_revision: number::Revision,
-    /// Position of the last command that entries must have in force before somebody is
-    /// told that they rely on it.
+    /// Index of the last command that entries must have applied before its change is
+    /// acknowledged, see [`binding::is_binding`].
     #[serde(default, rename = "binding")]
     pub binding_revision: number::Revision,
-    /// The largest time of any command; it never goes back.
+    /// Largest time of any command, in Unix milliseconds; it never goes back.
     pub clock: u64,
-    /// The configuration and those before it.
+    /// Current configuration and earlier ones.
     pub configuration: configuration::State,
-    /// What the weight store can load.
+    /// Models that the weight store lists.
     pub catalogue: catalogue::Catalogue,
-    /// Keys and workspaces.
+    /// Keys of callers, and workspaces.
     pub keys: key::Keys,
-    /// Endpoints.
+    /// Endpoints and their health.
     pub endpoints: endpoint::Endpoints,
-    /// Entries and controls.
+    /// Entries and control processes.
     pub members: member::Members,
-    /// Bookings.
+    /// Claims of bookings.
     pub claims: claim::Claims,
     /// Requests that crash endpoints.
     pub quarantines: quarantine::Quarantines,
@@ -48,29 +48,29 @@
     /// Orders to endpoints that may still take effect.
     #[serde(default)]
     pub orders: journal::Journal,
-    /// Models and adapters that move.
+    /// Models and adapters that are being loaded or dropped, by endpoint.
     #[serde(default)]
     pub residencies: residency::Residencies,
-    /// The traffic plan.
+    /// Traffic plan in force.
     #[serde(default)]
     pub traffic: traffic::State,
     /// First answers by change id.
-    pub changes: change::Memory,
-    /// What operators changed.
+    pub changes: deduplication::Answers,
+    /// Changes that operators made.
     pub history: history::History,
-    /// The hash-chained trail.
+    /// Hash-chained audit trail.
     pub audit: audit::Trail,
 }
 
 type Outcome = (answer::Answer, Vec<view::Change>);
 
 impl Fleet {
-    /// Applies a committed command; gives the answer and what entries learn.
+    /// Applies a committed command; returns its answer and the changes of the view.
     pub fn apply(&mut self, index: number::Index, proposal: &command::Proposal) -> Outcome {
         self.revision = number::Revision(index.0);
         self.clock = self.clock.max(proposal.at);
         let command = &proposal.command;
-        let outcome = self.take(command);
+        let outcome = self.apply_once(command);
         if !outcome.1.is_empty() {
             self.view_revision = self.revision;
         }
@@ -80,16 +80,16 @@
         outcome
     }
 
-    fn take(&mut self, command: &command::Command) -> Outcome {
+    fn apply_once(&mut self, command: &command::Command) -> Outcome {
         let Some(author) = command.author() else {
-            return self.carry_out(command);
+            return self.execute(command);
         };
-        if let Some(first) = self.changes.recall(&author.change, command) {
+        if let Some(first) = self.changes.first_answer(&author.change, command) {
             return (first, Vec::new());
         }
-        let outcome = self.carry_out(command);
-        self.changes.keep(&author.change, command, &outcome.0);
-        if is_taken(&outcome.0) {
+        let outcome = self.execute(command);
+        self.changes.insert(&author.change, command, &outcome.0);
+        if is_accepted(&outcome.0) {
             self.history.push(operator::Record {
                 revision: self.revision,
                 at: self.clock,
@@ -100,7 +100,7 @@
         outcome
     }
 
-    fn carry_out(&mut self, command: &command::Command) -> Outcome {
+    fn execute(&mut self, command: &command::Command) -> Outcome {
         let (revision, at) = (self.revision, self.clock);
         let outcome = match command {
             command::Command::Configuration(step) => self.configuration.apply(revision, at, step),
@@ -108,17 +108,17 @@
             command::Command::Key(step) => self.keys.apply(revision, step),
             command::Command::Endpoint(step) => {
                 let outcome = self.endpoints.apply(step);
-                self.residencies.follow(&outcome.1);
+                self.residencies.apply_removals(&outcome.1);
                 outcome
             }
             command::Command::Member(step) => self.apply_member(step),
             command::Command::Claim(step) => {
-                let terms = self.claim_terms();
-                (self.claims.apply(at, terms, step), Vec::new())
+                let lifetimes = self.claim_lifetimes();
+                (self.claims.apply(at, lifetimes, step), Vec::new())
             }
             command::Command::Quarantine(step) => {
-                let term = self.configuration.current().defaults.quarantine;
-                (answer::Answer::Done, self.quarantines.apply(at, term, step))
+                let span = self.configuration.current().defaults.quarantine;
+                (answer::Answer::Done, self.quarantines.apply(at, span, step))
             }
             command::Command::Group(_) => (answer::Answer::Done, Vec::new()),
             command::Command::Share(step) => {
@@ -127,21 +127,25 @@
             }
             command::Command::Lender(step) => (answer::Answer::Done, self.lenders.apply(step)),
             command::Command::Order(record) => {
-                let taken = self.orders.apply(record);
+                let accepted = self.orders.apply(record);
                 let refused = answer::Answer::Refused("a newer leader gives orders".into());
-                let answer = if taken { answer::Answer::Done } else { refused };
+                let answer = if accepted {
+                    answer::Answer::Done
+                } else {
+                    refused
+                };
                 (answer, Vec::new())
             }
-            command::Command::Residency(told) => {
-                (answer::Answer::Done, self.residencies.apply(told))
+            command::Command::Residency(residency) => {
+                (answer::Answer::Done, self.residencies.apply(residency))
             }
             command::Command::Traffic(step) => self.traffic.apply(step),
             command::Command::Drain(drain) => self.drain(drain),
         };
-        if is_taken(&outcome.0)
-            && let Some(fact) = fact::of(command, &outcome.0, &outcome.1)
+        if is_accepted(&outcome.0)
+            && let Some(event) = audit_event::for_command(command, &outcome.0, &outcome.1)
         {
-            self.audit.push(revision, at, fact);
+            self.audit.push(revision, at, event);
         }
         outcome
     }
@@ -172,7 +176,7 @@
         (answer::Answer::Refused(reason.into()), Vec::new())
     }
 
-    fn claim_terms(&self) -> claim::Lifetimes {
+    fn claim_lifetimes(&self) -> claim::Lifetimes {
         let current = self.configuration.current();
         let exceptions = current.exceptions.iter();
         let longest = exceptions.filter_map(|exception| exception.booking_deadline);
@@ -182,7 +186,7 @@
         }
     }
 
-    /// What entries keep of the state.
+    /// Returns the part of the state that entries keep.
     #[must_use]
     pub fn view(&self) -> view::State {
         view::State {
@@ -191,7 +195,7 @@
             keys: self.keys.keys().cloned().collect(),
             endpoints: self.endpoints.iter().collect(),
             members: self.members.iter().cloned().collect(),
-            quarantines: self.quarantines.refused().collect(),
+            quarantines: self.quarantines.active().collect(),
             workspaces: self.keys.workspaces().cloned().collect(),
             traffic: self.traffic.plan().cloned(),
             residencies: self.residencies.iter().cloned().collect(),
@@ -199,8 +203,9 @@
         }
     }
 
-    /// The state for people: without hashes of keys and without what services
-    /// answered to callers.
+    /// Returns the state for operators.
+    ///
+    /// It contains neither hashes of keys nor what services answered to callers.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
         serde_json::json!({
@@ -215,7 +220,7 @@
         })
     }
 
-    /// The view without hashes of keys.
+    /// Returns the view without hashes of keys.
     #[must_use]
     pub fn redacted_view(&self) -> view::State {
         let mut view = self.view();
@@ -232,7 +237,7 @@
         view
     }
 
-    /// What a configuration's promises are held against.
+    /// Returns what the fleet has, for the validation of a configuration.
     #[must_use]
     pub fn facts(&self) -> configuration::Facts {
         let runners = self.endpoints.announcements();
@@ -248,13 +253,13 @@
         }
     }
 
-    /// The defaults in force.
+    /// Returns the defaults in force.
     #[must_use]
     pub const fn defaults(&self) -> &wire::Defaults {
         &self.configuration.current().defaults
     }
 
-    /// The whole state as bytes.
+    /// Serializes the whole state.
     ///
     /// # Panics
     ///
@@ -264,21 +269,21 @@
         serde_json::to_vec(self).expect("the state has text keys only")
     }
 
-    /// The state of a snapshot.
+    /// Restores the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// When the bytes are not a snapshot.
+    /// If the bytes are not a snapshot.
     pub fn restore(snapshot: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(snapshot)
     }
 }
 
-fn is_taken(answer: &answer::Answer) -> bool {
+fn is_accepted(answer: &answer::Answer) -> bool {
     let refused = matches!(answer, answer::Answer::Refused(_));
-    let lost = matches!(
+    let conflict = matches!(
         answer,
         answer::Answer::Applied(operator::Applied::Conflict { .. })
     );
-    !refused && !lost
+    !refused && !conflict
 }
--- a/crates/cranberrygap-state/src/group.rs
+++ b/crates/cranberrygap-state/src/group.rs
@@ -1,8 +1,8 @@
-//! Notes on changes of the replicated group.
+//! Records of changes of the replicated group.
 //!
-//! The group itself is kept by the agreement protocol, which must know it before
-//! anything can be applied. What operators did to it is noted here, so that
-//! history and audit trail show it.
+//! The agreement protocol keeps the group itself, because it must know the group
+//! before anything can be applied. What operators did to the group is recorded here,
+//! so that history and audit trail show it.
 
 use std::fmt;
 
@@ -13,21 +13,21 @@
 /// An operator's change of the group, after it was made.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Who asked and why.
+    /// Operator who asked, and the reason.
     pub author: operator::Author,
-    /// The control process.
+    /// Control process that was added or removed.
     pub instance: id::Instance,
-    /// What was done.
+    /// Change that was made.
     pub change: Change,
 }
 
-/// What was done to the group.
+/// Kind of change of the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// The process votes from now on.
     Added,
-    /// The process does not belong to the group any more.
+    /// The process no longer belongs to the group.
     Removed,
 }
 
--- a/crates/cranberrygap-state/src/key.rs
+++ b/crates/cranberrygap-state/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys of callers; only keyed hashes of the secrets are kept.
+//! Keys of callers; only keyed hashes of the secrets are stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,29 +10,29 @@
 
 use crate::answer;
 
-/// Keys that are taken. Bounds the view of every entry.
-const MOST_KEYS: usize = 65_536;
+/// Most keys that are kept; each is in the view of every entry.
+const MAX_KEYS: usize = 65_536;
 
-/// Workspaces that are taken; each is in the view of every entry.
-const MOST_WORKSPACES: usize = 4_096;
+/// Most workspaces that are kept; each is in the view of every entry.
+const MAX_WORKSPACES: usize = 4_096;
 
-/// Separates these hashes from every other use of BLAKE3.
-const CONTEXT: &str = "cranberrygap 2026-12 caller key";
+/// Context of the key hashes, which separates them from every other use of BLAKE3.
+const HASH_CONTEXT: &str = "cranberrygap 2026-12 caller key";
 
-/// Bytes of random numbers in a secret; the first few make the public id.
+/// Number of random bytes in a secret; the first few become the public id.
 pub const RANDOM_BYTES: usize = 32;
 
-/// Random bytes that become the public id.
-const ID_LENGTH: usize = 8;
+/// Number of random bytes that become the public id.
+const ID_BYTES: usize = 8;
 
-/// A caller's secret as it is drawn: `cg-<id>.<secret part>`.
+/// A caller's secret when it is issued: `cg-<id>.<secret part>`.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret {
     key: id::Key,
     text: String,
 }
 
-/// The keys that work, and the workspaces that exist.
+/// Valid keys, and existing workspaces.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Keys {
     keys: BTreeMap<id::Key, view::Key>,
@@ -43,14 +43,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "content", rename_all = "snake_case")]
 pub enum Step {
-    /// A key works from now on.
+    /// Makes a key valid from now on.
     Issue(operator::Issue),
-    /// A key works no longer.
+    /// Makes a key invalid from now on.
     Withdraw(operator::Withdraw),
 }
 
 impl Secret {
-    /// A secret made of random bytes.
+    /// Creates a secret from random bytes.
     ///
     /// # Panics
     ///
@@ -58,26 +58,26 @@
     #[must_use]
     pub fn new(random: [u8; RANDOM_BYTES]) -> Self {
         let hex = blake3::Hash::from_bytes(random).to_hex();
-        let (public, secret) = hex.split_at(2 * ID_LENGTH);
+        let (public, secret) = hex.split_at(2 * ID_BYTES);
         let public = format!("cg-{public}");
         let key = public.parse().expect("hex is a valid name");
         let text = format!("{public}.{secret}");
         Self { key, text }
     }
 
-    /// The public id.
+    /// Returns the public id.
     #[must_use]
     pub const fn key(&self) -> &id::Key {
         &self.key
     }
 
-    /// The text that callers send; it must not be logged or stored.
+    /// Returns the text that callers send; it must not be logged or stored.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.text
     }
 
-    /// The hash that the fleet keeps.
+    /// Returns the hash that the fleet stores.
     #[must_use]
     pub fn hash(&self) -> SmolStr {
         hash(&self.text)
@@ -90,12 +90,14 @@
     }
 }
 
-/// The keyed hash of a secret in hex. The key of the hash is made from the
-/// secret's public id, so equal secrets under two ids do not look equal.
+/// Returns the keyed hash of a secret in hex.
+///
+/// The key of the hash is derived from the secret's public id, so that equal secrets
+/// with different ids have different hashes.
 #[must_use]
 pub fn hash(secret: &str) -> SmolStr {
     let public = secret.rsplit_once('.').map_or("", |(public, _)| public);
-    let key = blake3::derive_key(CONTEXT, public.as_bytes());
+    let key = blake3::derive_key(HASH_CONTEXT, public.as_bytes());
     let hash = blake3::keyed_hash(&key, secret.as_bytes());
     SmolStr::new(hash.to_hex().as_str())
 }
@@ -118,7 +120,7 @@
         revision: number::Revision,
         issue: &operator::Issue,
     ) -> (answer::Answer, Vec<view::Change>) {
-        if let Some(reason) = self.objection(issue) {
+        if let Some(reason) = self.refusal(issue) {
             return (answer::Answer::Refused(reason), Vec::new());
         }
         let key = view::Key {
@@ -141,7 +143,7 @@
         (answer::Answer::Issued(issued), changes)
     }
 
-    fn objection(&self, issue: &operator::Issue) -> Option<SmolStr> {
+    fn refusal(&self, issue: &operator::Issue) -> Option<SmolStr> {
         if blake3::Hash::from_hex(issue.hash.as_str()).is_err() {
             return Some("the hash is not 64 hex digits".into());
         }
@@ -151,12 +153,12 @@
         if self.keys.values().any(|key| key.hash == issue.hash) {
             return Some("there is a key with this secret already".into());
         }
-        let new = !self.workspaces.contains(&issue.workspace);
-        if new && self.workspaces.len() >= MOST_WORKSPACES {
-            return Some(format!("there are {MOST_WORKSPACES} workspaces already").into());
+        let is_new = !self.workspaces.contains(&issue.workspace);
+        if is_new && self.workspaces.len() >= MAX_WORKSPACES {
+            return Some(format!("there are {MAX_WORKSPACES} workspaces already").into());
         }
-        let full = self.keys.len() >= MOST_KEYS;
-        full.then(|| format!("there are {MOST_KEYS} keys; withdraw some first").into())
+        let keys_full = self.keys.len() >= MAX_KEYS;
+        keys_full.then(|| format!("there are {MAX_KEYS} keys; withdraw some first").into())
     }
 
     fn withdraw(
@@ -174,19 +176,19 @@
         (answer::Answer::Withdrawn(withdrawn), changes)
     }
 
-    /// The keys that work.
+    /// Returns the valid keys.
     pub fn keys(&self) -> impl Iterator<Item = &view::Key> {
         self.keys.values()
     }
 
-    /// The workspaces; one exists once a key was issued for it.
+    /// Returns the workspaces; one exists once a key was issued for it.
     pub fn workspaces(&self) -> impl Iterator<Item = &id::Workspace> {
         self.workspaces.iter()
     }
 }
 
 impl Step {
-    /// Who asks.
+    /// Returns the operator who asks.
     #[must_use]
     pub const fn author(&self) -> &operator::Author {
         match self {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// The step in a few words.
+    /// Describes the step in a few words.
     #[must_use]
     pub fn summary(&self) -> SmolStr {
         match self {
--- a/crates/cranberrygap-state/src/lender.rs
+++ b/crates/cranberrygap-state/src/lender.rs
@@ -1,4 +1,4 @@
-//! Which entry lends the tokens of which workspace.
+//! Lenders: the entries that lend the workspaces' tokens.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,14 @@
 use cranberrygap_wire::view;
 use serde::{Deserialize, Serialize};
 
-/// The entries that lend, as the leader chose them.
+/// The lender of each workspace, as the leader chose it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lenders {
-    chosen: BTreeMap<id::Workspace, id::Instance>,
+    #[serde(rename = "chosen")]
+    by_workspace: BTreeMap<id::Workspace, id::Instance>,
 }
 
-/// Choices that the leader made together.
+/// Lenders that the leader chose together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// One for each workspace whose lender changes.
@@ -20,17 +21,17 @@
 }
 
 impl Lenders {
-    /// Takes choices; gives what entries learn.
+    /// Applies new lenders; returns the changes of the view.
     pub fn apply(&mut self, step: &Step) -> Vec<view::Change> {
         let mut changes = Vec::new();
         for lender in &step.lenders {
-            let known = match &lender.instance {
+            let previous = match &lender.instance {
                 Some(instance) => self
-                    .chosen
+                    .by_workspace
                     .insert(lender.workspace.clone(), instance.clone()),
-                None => self.chosen.remove(&lender.workspace),
+                None => self.by_workspace.remove(&lender.workspace),
             };
-            if known != lender.instance {
+            if previous != lender.instance {
                 let lender = lender.clone();
                 changes.push(view::Change::Lent { lender });
             }
@@ -38,20 +39,20 @@
         changes
     }
 
-    /// Who lends the tokens of a workspace.
+    /// Returns the entry that lends the tokens of a workspace.
     #[must_use]
     pub fn get(&self, workspace: &id::Workspace) -> Option<&id::Instance> {
-        self.chosen.get(workspace)
+        self.by_workspace.get(workspace)
     }
 
-    /// All choices by workspace.
+    /// Returns all lenders by workspace.
     pub fn iter(&self) -> impl Iterator<Item = (&id::Workspace, &id::Instance)> {
-        self.chosen.iter()
+        self.by_workspace.iter()
     }
 
-    /// What entries are told of the choices.
+    /// Returns the lenders as entries see them.
     pub fn view(&self) -> impl Iterator<Item = view::Lender> {
-        self.chosen
+        self.by_workspace
             .iter()
             .map(|(workspace, instance)| view::Lender {
                 workspace: workspace.clone(),
--- a/crates/cranberrygap-state/src/lib.rs
+++ b/crates/cranberrygap-state/src/lib.rs
@@ -1,16 +1,16 @@
 //! Replicated state: configuration, keys, endpoints, members, claims and more.
 //!
-//! [`fleet::Fleet::apply`] takes one committed [`command::Proposal`] after the
-//! other; it reads no clock and draws no random numbers, so every replica comes
-//! to the same state. Each subject is one module with one `apply`.
+//! [`fleet::Fleet::apply`] applies committed [`command::Proposal`]s in order. It
+//! reads no clock and draws no random numbers, so every replica reaches the same
+//! state. Each subject is one module with one `apply`.
 
 pub mod answer;
 pub mod audit;
 pub mod catalogue;
-pub mod change;
 pub mod claim;
 pub mod command;
 pub mod configuration;
+pub mod deduplication;
 pub mod endpoint;
 pub mod fleet;
 pub mod group;
@@ -23,4 +23,4 @@
 pub mod share;
 pub mod traffic;
 
-mod fact;
+mod audit_event;
--- a/crates/cranberrygap-state/src/member.rs
+++ b/crates/cranberrygap-state/src/member.rs
@@ -7,78 +7,79 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// Members that are taken; ten times the planned number.
-const MOST_MEMBERS: usize = 4_096;
+/// Most members that are kept: ten times the planned number.
+const MAX_MEMBERS: usize = 4_096;
 
-/// Earlier boots that are remembered for each member, see the endpoints.
-const FORMER_BOOTS: usize = 8;
+/// Most earlier boots that are remembered for each member, for the same reason as for endpoints.
+const MAX_FORMER_BOOTS: usize = 8;
 
-/// All members.
+/// All members, by instance.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Members {
-    members: BTreeMap<id::Instance, Known>,
+    members: BTreeMap<id::Instance, Registration>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Known {
+struct Registration {
     member: view::Member,
     boot: number::Boot,
-    /// An operator took it out of service; ends with the next boot.
+    /// Whether an operator took the member out of service; reset by the next boot.
     drained: bool,
-    former: SmallVec<[number::Boot; 2]>,
+    #[serde(rename = "former")]
+    former_boots: SmallVec<[number::Boot; 2]>,
 }
 
-/// News of a member.
+/// A change of a member.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "content", rename_all = "snake_case")]
 pub enum Step {
-    /// It told of itself.
+    /// The member announced itself.
     Seen {
-        /// What it told.
+        /// Announced content.
         member: view::Member,
-        /// Its boot.
+        /// Boot of the process.
         boot: number::Boot,
     },
-    /// Its lease ran out long ago, or it left.
+    /// The member's lease ran out long ago, or it left.
     Gone {
-        /// Its name.
+        /// Instance of the member.
         instance: id::Instance,
-        /// The boot that is gone.
+        /// Boot of the process that is gone.
         boot: number::Boot,
     },
 }
 
-/// What became of a member.
+/// Result of a change of a member.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Outcome {
-    /// What entries learn.
+    /// Changes of the view.
     pub changes: Vec<view::Change>,
-    /// A process that ended: its boot will not be heard of again.
+    /// Process that ended, if any: its boot will not be heard from again.
     pub ended: Option<(id::Instance, number::Boot)>,
 }
 
 impl Members {
-    /// Takes news of a member; old news changes nothing.
+    /// Applies a change of a member; a stale one changes nothing.
     pub fn apply(&mut self, step: &Step) -> Outcome {
         match step {
-            Step::Seen { member, boot } => self.see(member, *boot),
-            Step::Gone { instance, boot } => self.lose(instance, *boot),
+            Step::Seen { member, boot } => self.observe(member, *boot),
+            Step::Gone { instance, boot } => self.mark_left(instance, *boot),
         }
     }
 
-    fn see(&mut self, member: &view::Member, boot: number::Boot) -> Outcome {
+    fn observe(&mut self, member: &view::Member, boot: number::Boot) -> Outcome {
         let Some(known) = self.members.get_mut(&member.instance) else {
             return self.add(member, boot);
         };
-        if known.former.contains(&boot) {
+        if known.former_boots.contains(&boot) {
             return Outcome::default();
         }
         let mut outcome = Outcome::default();
         if known.boot != boot {
             outcome.ended = Some((member.instance.clone(), known.boot));
-            known.former.push(known.boot);
-            if known.former.len() > FORMER_BOOTS {
-                known.former.remove(0);
+            known.former_boots.push(known.boot);
+            if known.former_boots.len() > MAX_FORMER_BOOTS {
+                known.former_boots.remove(0);
             }
             known.boot = boot;
             known.drained = false;
@@ -95,14 +96,14 @@
     }
 
     fn add(&mut self, member: &view::Member, boot: number::Boot) -> Outcome {
-        if self.members.len() >= MOST_MEMBERS && !self.drop_one_that_left() {
+        if self.members.len() >= MAX_MEMBERS && !self.evict_left_member() {
             return Outcome::default();
         }
-        let known = Known {
+        let known = Registration {
             member: member.clone(),
             boot,
             drained: false,
-            former: SmallVec::new(),
+            former_boots: SmallVec::new(),
         };
         self.members.insert(member.instance.clone(), known);
         let member = member.clone();
@@ -112,18 +113,18 @@
         }
     }
 
-    /// Makes room; entries may keep the dropped one as left, which is harmless.
-    fn drop_one_that_left(&mut self) -> bool {
-        let left = |known: &Known| known.member.phase == view::Phase::Left;
+    /// Evicts a member that left; entries may keep it as left, which is harmless.
+    fn evict_left_member(&mut self) -> bool {
+        let has_left = |known: &Registration| known.member.phase == view::Phase::Left;
         let mut members = self.members.iter();
-        let found = members.find(|(_, known)| left(known));
+        let found = members.find(|(_, known)| has_left(known));
         let Some(name) = found.map(|(name, _)| name.clone()) else {
             return false;
         };
         self.members.remove(&name).is_some()
     }
 
-    fn lose(&mut self, instance: &id::Instance, boot: number::Boot) -> Outcome {
+    fn mark_left(&mut self, instance: &id::Instance, boot: number::Boot) -> Outcome {
         let known = self.members.get_mut(instance);
         let Some(known) = known.filter(|known| known.boot == boot) else {
             return Outcome::default();
@@ -151,30 +152,32 @@
         Some((role, vec![view::Change::MemberChanged { member }]))
     }
 
-    /// Whether news of a member would change something.
+    /// Returns whether an announcement of a member would change the state.
     #[must_use]
     pub fn would_change(&self, member: &view::Member, boot: number::Boot) -> bool {
         let mut trial = Self::default();
         if let Some(known) = self.members.get(&member.instance) {
             trial.members.insert(member.instance.clone(), known.clone());
         }
-        let outcome = trial.see(member, boot);
+        let outcome = trial.observe(member, boot);
         !outcome.changes.is_empty() || outcome.ended.is_some()
     }
 
-    /// All members by name.
+    /// Returns all members by name.
     pub fn iter(&self) -> impl Iterator<Item = &view::Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// Whether a process has ended for certain: another one of its instance came after it.
+    /// Returns whether a process has certainly ended.
+    ///
+    /// It has if a later process of its instance was heard.
     #[must_use]
     pub fn has_ended(&self, instance: &id::Instance, boot: number::Boot) -> bool {
         let known = self.members.get(instance);
-        known.is_some_and(|known| known.former.contains(&boot))
+        known.is_some_and(|known| known.former_boots.contains(&boot))
     }
 
-    /// All members with their boots.
+    /// Returns all members with their boots.
     pub fn boots(&self) -> impl Iterator<Item = (&view::Member, number::Boot)> {
         self.members
             .values()
--- a/crates/cranberrygap-state/src/residency.rs
+++ b/crates/cranberrygap-state/src/residency.rs
@@ -1,4 +1,4 @@
-//! What the leader says of endpoints' memory beyond what they announce.
+//! Residency of endpoints as the leader reports it, beyond what they announce.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +6,42 @@
 use cranberrygap_wire::view;
 use serde::{Deserialize, Serialize};
 
-/// Models that are about to go and adapters that are there, by endpoint.
+/// Models that are about to be dropped and adapters that are loaded, by endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Residencies {
-    told: BTreeMap<id::Endpoint, view::Residency>,
+    #[serde(rename = "told")]
+    by_endpoint: BTreeMap<id::Endpoint, view::Residency>,
 }
 
 impl Residencies {
-    /// Takes what the leader says of one endpoint.
-    pub fn apply(&mut self, told: &view::Residency) -> Vec<view::Change> {
-        if self.told.get(&told.endpoint) == Some(told) {
+    /// Applies the leader's report about one endpoint.
+    pub fn apply(&mut self, reported: &view::Residency) -> Vec<view::Change> {
+        if self.by_endpoint.get(&reported.endpoint) == Some(reported) {
             return Vec::new();
         }
-        self.told.insert(told.endpoint.clone(), told.clone());
-        let residency = told.clone();
+        self.by_endpoint
+            .insert(reported.endpoint.clone(), reported.clone());
+        let residency = reported.clone();
         vec![view::Change::Resided { residency }]
     }
 
-    /// Forgets endpoints that are gone.
-    pub fn follow(&mut self, changes: &[view::Change]) {
+    /// Removes endpoints that are gone.
+    pub fn apply_removals(&mut self, changes: &[view::Change]) {
         for change in changes {
             if let view::Change::EndpointRemoved { endpoint } = change {
-                self.told.remove(endpoint);
+                self.by_endpoint.remove(endpoint);
             }
         }
     }
 
-    /// What is said of one endpoint.
+    /// Returns the report about one endpoint.
     #[must_use]
     pub fn get(&self, endpoint: &id::Endpoint) -> Option<&view::Residency> {
-        self.told.get(endpoint)
+        self.by_endpoint.get(endpoint)
     }
 
-    /// All that is said, by endpoint.
+    /// Returns all reports, by endpoint.
     pub fn iter(&self) -> impl Iterator<Item = &view::Residency> {
-        self.told.values()
+        self.by_endpoint.values()
     }
 }
--- a/crates/cranberrygap-state/src/share.rs
+++ b/crates/cranberrygap-state/src/share.rs
@@ -1,7 +1,7 @@
 //! Shares of the workspaces' rates and bursts, as far as a new leader needs them.
 //!
-//! The leader commits the most that a holder may have before it tells the
-//! holder. A new leader keeps all of that apart until the leases have run out.
+//! The leader commits the most that a holder may have before it grants that to the
+//! holder. A new leader reserves all of it until the leases have expired.
 
 use std::collections::BTreeMap;
 
@@ -9,46 +9,52 @@
 use cranberrygap_wire::share;
 use serde::{Deserialize, Serialize};
 
-/// The most that each holder may have.
+/// The most that each holder may have, by workspace.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Shares {
-    held: BTreeMap<id::Workspace, Vec<share::Allocation>>,
+    #[serde(rename = "held")]
+    by_workspace: BTreeMap<id::Workspace, Vec<share::Allocation>>,
 }
 
 /// Allocations that the leader has changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// In the order in which they are to be taken.
+    /// Allocations, in the order in which they apply.
     pub allocations: Vec<share::Allocation>,
 }
 
 impl Shares {
-    /// Takes changed allocations; one without rate and cap is closed.
+    /// Applies changed allocations; one without rate and cap is closed.
     pub fn apply(&mut self, step: &Step) {
         for allocation in &step.allocations {
-            self.take(allocation);
+            self.replace(allocation);
         }
     }
 
-    fn take(&mut self, allocation: &share::Allocation) {
-        let held = self.held.entry(allocation.workspace.clone()).or_default();
-        held.retain(|other| holder(other) != holder(allocation));
-        let closes = allocation.rate.0 <= 0.0 && allocation.cap.0 == 0;
-        if !closes {
-            held.push(allocation.clone());
+    fn replace(&mut self, allocation: &share::Allocation) {
+        let workspace_allocations = self
+            .by_workspace
+            .entry(allocation.workspace.clone())
+            .or_default();
+        workspace_allocations.retain(|other| holder(other) != holder(allocation));
+        let is_closed = allocation.rate.0 <= 0.0 && allocation.cap.0 == 0;
+        if !is_closed {
+            workspace_allocations.push(allocation.clone());
         }
-        if held.is_empty() {
-            self.held.remove(&allocation.workspace);
+        if workspace_allocations.is_empty() {
+            self.by_workspace.remove(&allocation.workspace);
         }
     }
 
-    /// All allocations that are not closed.
+    /// Returns all allocations that are not closed.
     pub fn iter(&self) -> impl Iterator<Item = &share::Allocation> {
-        self.held.values().flatten()
+        self.by_workspace.values().flatten()
     }
 }
 
-/// A process, and what it holds tokens for: an entry lends and serves its callers at once.
+/// Returns the holder of an allocation: a process, and whether it lends tokens.
+///
+/// An entry may lend tokens and have a share for its own callers at the same time.
 fn holder(allocation: &share::Allocation) -> (&id::Instance, number::Boot, bool) {
     (&allocation.instance, allocation.boot, allocation.lends)
 }
--- a/crates/cranberrygap-state/src/traffic.rs
+++ b/crates/cranberrygap-state/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic plan: routes, services, models and workspaces, highest version wins.
+//! The traffic plan: routes, services, models and workspaces; the highest version wins.
 
 use std::collections::BTreeSet;
 
@@ -9,8 +9,8 @@
 
 use crate::answer;
 
-/// Separates these hashes from every other use of BLAKE3.
-const CONTEXT: &str = "cranberrygap 2026-12 traffic key";
+/// Context of the key hashes, which separates them from every other use of BLAKE3.
+const HASH_CONTEXT: &str = "cranberrygap 2026-12 traffic key";
 
 /// The plan in force and the text that it was read from.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -19,72 +19,71 @@
     source: SmolStr,
 }
 
-/// A new plan, already read and checked.
+/// A new plan, already parsed and checked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// What it says.
+    /// The plan.
     pub plan: traffic::Plan,
-    /// The text as it was sent, for whoever reads it back. It may hold secrets and
-    /// is never shown elsewhere.
+    /// Text as the operator sent it, for operators who read it back. It may hold secrets
+    /// and is never shown elsewhere.
     pub source: SmolStr,
 }
 
-/// Why a plan is refused.
+/// Reason why a plan is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Mistake {
+pub enum Error {
     /// A route names a service that the plan does not have.
     #[error("route {route} goes to {service}, which is not among the services")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: SmolStr,
-        /// The service.
+        /// Name of the service.
         service: SmolStr,
     },
-    /// Two routes cannot be told apart.
+    /// Two routes have the same host and prefix.
     #[error("route {route} has the same host and prefix as another one")]
-    SamePlace {
-        /// The later route.
+    DuplicateRoute {
+        /// Name of the later route.
         route: SmolStr,
     },
-    /// No part of a route has any weight.
+    /// All parts of a route have weight 0.
     #[error("the weights of route {route} add up to 0")]
-    NoWeight {
-        /// The route.
+    ZeroWeight {
+        /// Name of the route.
         route: SmolStr,
     },
     /// A route leaves no time to answer.
     #[error("route {route} has a deadline of 0")]
-    NoTime {
-        /// The route.
+    ZeroDeadline {
+        /// Name of the route.
         route: SmolStr,
     },
-    /// A prefix does not stand for whole parts of a path.
+    /// A prefix does not consist of whole parts of a path.
     #[error("the prefix of route {route} does not begin and end with a slash")]
-    WrongPrefix {
-        /// The route.
+    InvalidPrefix {
+        /// Name of the route.
         route: SmolStr,
     },
-    /// Two workspaces cannot be told apart.
+    /// Two workspaces have a key in common.
     #[error("workspace {workspace} shares a key with another one")]
     SharedKey {
-        /// The later workspace.
+        /// Name of the later workspace.
         workspace: SmolStr,
     },
-    /// Two services, or two workspaces, have one name.
+    /// Two services or two workspaces have the same name.
     #[error("{name} is named twice")]
-    NamedTwice {
-        /// The name.
+    DuplicateName {
+        /// The duplicate name.
         name: SmolStr,
     },
 }
 
 impl State {
-    /// Takes a plan if its version is higher than the one in force.
+    /// Accepts a plan if its version is higher than the one in force.
     ///
-    /// An older plan that is sent again, because its answer was lost, changes
-    /// nothing and is answered like the first time. Equal versions with other
-    /// content change nothing either: whoever reads back would otherwise find two
-    /// plans under one number.
+    /// An older plan that is resent, because its answer was lost, changes nothing and is
+    /// answered like the first time. Another plan with the same version changes nothing
+    /// either: operators who read back would otherwise find two plans with one version.
     pub fn apply(&mut self, step: &Step) -> (answer::Answer, Vec<view::Change>) {
         if self.version() >= Some(step.plan.version) {
             return (answer::Answer::Done, Vec::new());
@@ -95,29 +94,29 @@
         (answer::Answer::Done, vec![view::Change::Rerouted { plan }])
     }
 
-    /// Version in force, once there is one.
+    /// Returns the version in force, if any.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.plan.as_ref().map(|plan| plan.version)
     }
 
-    /// The plan in force.
+    /// Returns the plan in force.
     #[must_use]
     pub const fn plan(&self) -> Option<&traffic::Plan> {
         self.plan.as_ref()
     }
 
-    /// The text of the plan in force; empty before the first.
+    /// Returns the text of the plan in force; empty before the first.
     #[must_use]
     pub const fn source(&self) -> &SmolStr {
         &self.source
     }
 }
 
-/// The keyed hash under which a plan holds a key.
+/// Returns the keyed hash under which a plan stores a key.
 #[must_use]
 pub fn key_hash(key: &str) -> SmolStr {
-    let secret = blake3::derive_key(CONTEXT, b"");
+    let secret = blake3::derive_key(HASH_CONTEXT, b"");
     SmolStr::new(
         blake3::keyed_hash(&secret, key.as_bytes())
             .to_hex()
@@ -125,66 +124,66 @@
     )
 }
 
-/// Every mistake of a plan that a schema cannot find.
+/// Returns all mistakes of a plan that its schema cannot find.
 #[must_use]
-pub fn check(plan: &traffic::Plan) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
+pub fn check(plan: &traffic::Plan) -> Vec<Error> {
+    let mut errors = Vec::new();
     let mut names = BTreeSet::new();
     for service in &plan.services {
         if !names.insert(service.service.as_str()) {
             let name = SmolStr::new(service.service.as_str());
-            mistakes.push(Mistake::NamedTwice { name });
+            errors.push(Error::DuplicateName { name });
         }
     }
-    let mut places = BTreeSet::new();
+    let mut hosts_and_prefixes = BTreeSet::new();
     for route in &plan.routes {
-        mistakes.extend(check_route(route, &names));
-        if !places.insert((route.host.as_str(), route.prefix.as_str())) {
+        errors.extend(check_route(route, &names));
+        if !hosts_and_prefixes.insert((route.host.as_str(), route.prefix.as_str())) {
             let route = route.name.clone();
-            mistakes.push(Mistake::SamePlace { route });
+            errors.push(Error::DuplicateRoute { route });
         }
     }
-    mistakes.extend(check_workspaces(&plan.workspaces));
-    mistakes
+    errors.extend(check_workspaces(&plan.workspaces));
+    errors
 }
 
-fn check_route(route: &traffic::Route, services: &BTreeSet<&str>) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
+fn check_route(route: &traffic::Route, services: &BTreeSet<&str>) -> Vec<Error> {
+    let mut errors = Vec::new();
     let name = || route.name.clone();
     for split in &route.splits {
         if !services.contains(split.service.as_str()) {
             let service = SmolStr::new(split.service.as_str());
             let route = name();
-            mistakes.push(Mistake::UnknownService { route, service });
+            errors.push(Error::UnknownService { route, service });
         }
     }
     if route.splits.iter().all(|split| split.weight == 0) {
-        mistakes.push(Mistake::NoWeight { route: name() });
+        errors.push(Error::ZeroWeight { route: name() });
     }
     if route.deadline == duration::Span(0) {
-        mistakes.push(Mistake::NoTime { route: name() });
+        errors.push(Error::ZeroDeadline { route: name() });
     }
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        mistakes.push(Mistake::WrongPrefix { route: name() });
+        errors.push(Error::InvalidPrefix { route: name() });
     }
-    mistakes
+    errors
 }
 
-fn check_workspaces(workspaces: &[traffic::Workspace]) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
+fn check_workspaces(workspaces: &[traffic::Workspace]) -> Vec<Error> {
+    let mut errors = Vec::new();
     let mut names = BTreeSet::new();
     let mut keys = BTreeSet::new();
     for workspace in workspaces {
         let name = format_smolstr!("{}", workspace.workspace);
         if !names.insert(name.clone()) {
-            mistakes.push(Mistake::NamedTwice { name: name.clone() });
+            errors.push(Error::DuplicateName { name: name.clone() });
         }
-        // A key that a workspace lists twice is still its own only.
-        let own: BTreeSet<&SmolStr> = workspace.keys.iter().collect();
-        if own.iter().any(|key| keys.contains(*key)) {
-            mistakes.push(Mistake::SharedKey { workspace: name });
+        // A key that a workspace lists twice is not shared with another workspace.
+        let own_keys: BTreeSet<&SmolStr> = workspace.keys.iter().collect();
+        if own_keys.iter().any(|key| keys.contains(*key)) {
+            errors.push(Error::SharedKey { workspace: name });
         }
-        keys.extend(own);
+        keys.extend(own_keys);
     }
-    mistakes
+    errors
 }
--- a/crates/cranberrygap-state/tests/claims.rs
+++ b/crates/cranberrygap-state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Bookings: each runs at most once, also after its claim is dropped.
+//! Claims: each booking runs at most once, also after its claim was removed.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fixture;
@@ -7,14 +7,14 @@
 use cranberrygap_state::{answer, command, member};
 use cranberrygap_wire::claim;
 
-const DAY: u64 = 24 * 3_600_000;
+const DAY_MILLIS: u64 = 24 * 3_600_000;
 
-/// Time at which the tests begin; UUIDs of version 7 carry such times.
-const START: u64 = 1_800_000_000_000;
+/// Unix time in milliseconds at which the tests begin; UUIDs of version 7 carry such times.
+const START_MILLIS: u64 = 1_800_000_000_000;
 
 fn group() -> fixture::Group {
     fixture::Group {
-        at: START,
+        at: START_MILLIS,
         ..fixture::Group::default()
     }
 }
@@ -31,8 +31,8 @@
     format!("{}-{}-7abc-8def-0123456789ab", &digits[..8], &digits[8..])
 }
 
-// The answer to a booking is lost on its way to the caller, who sends it again.
-// Run twice, two firms get the same letter.
+// The answer to a booking is lost and the caller sends it again. If the booking ran twice,
+// it would take effect twice.
 #[test]
 fn resend_gets_the_stored_answer() {
     let mut group = group();
@@ -69,10 +69,10 @@
     assert_eq!(again, claim::Verdict::Granted { claim: 2 });
 }
 
-// The close of a first attempt that did not run is held up, and arrives when a
-// second attempt runs. It must not open the way for a third.
+// The close of a first attempt that did not run is delayed until a second attempt runs.
+// It must not allow a third one.
 #[test]
-fn late_close_of_an_earlier_claim_settles_nothing() {
+fn late_close_of_an_earlier_claim_changes_nothing() {
     let mut group = group();
     group.commit(fixture::open("k", "body"));
     group.commit(fixture::close("k", 1, claim::Outcome::NotRun));
@@ -84,10 +84,10 @@
     assert_eq!(third, claim::Verdict::Running);
 }
 
-// An entry dies between dispatch and answer. Nobody knows whether the booking
-// ran, so it must not run again.
+// An entry dies between dispatch and answer. Nobody knows whether the booking ran, so it
+// must not run again.
 #[test]
-fn booking_of_an_entry_that_restarted_is_unknown() {
+fn running_booking_of_a_restarted_entry_becomes_unknown() {
     let mut group = group();
     let member = serde_json::json!({
         "instance": "entry-1", "domain": "oslo-1", "role": "entry",
@@ -109,16 +109,16 @@
     assert_eq!(resent, claim::Verdict::Stored { outcome });
 }
 
-// A caller sends a booking again long after its claim was dropped. With the
-// claim forgotten it would run a second time.
+// A caller sends a booking again long after its claim was removed. It must not run a
+// second time.
 #[test]
-fn key_cannot_run_again_after_its_claim_was_dropped() {
-    for key in ["plain".to_owned(), timed_key(START)] {
+fn key_cannot_run_again_after_its_claim_was_removed() {
+    for key in ["plain".to_owned(), timed_key(START_MILLIS)] {
         let mut group = group();
         group.commit(fixture::open(&key, "body"));
         group.commit(fixture::close(&key, 1, fixture::response("e30=")));
 
-        group.at += 2 * DAY;
+        group.at += 2 * DAY_MILLIS;
         let resent = verdict(group.answer(fixture::open(&key, "body")));
 
         assert_eq!(resent, claim::Verdict::Expired, "key {key}");
@@ -126,15 +126,15 @@
     }
 }
 
-// Keys that carry their time need no memory once they are old, and a longer
-// retention later must not revive those that are forgotten.
+// Keys that carry their time need no fingerprint once they are old, and a longer
+// retention set later must not make removed keys valid again.
 #[test]
 fn timed_keys_leave_no_fingerprint_and_stay_expired() {
     let mut group = group();
-    let key = timed_key(START);
+    let key = timed_key(START_MILLIS);
     group.commit(fixture::open(&key, "body"));
     group.commit(fixture::close(&key, 1, claim::Outcome::Unknown));
-    group.at += 2 * DAY;
+    group.at += 2 * DAY_MILLIS;
     group.commit(fixture::open("other", "body"));
 
     group.commit(fixture::configure(
--- a/crates/cranberrygap-state/tests/configuration.rs
+++ b/crates/cranberrygap-state/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: texts that are taken or refused, races and resends.
+//! Configurations: parsing, validation, races and resends.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fixture;
@@ -33,8 +33,8 @@
     assert_eq!(read.exceptions[1].idempotent, ["GET /lookup/*"]);
 }
 
-// A text with mistakes must not come into force in part; the operator sees all
-// mistakes in one go, each with its place and what to write.
+// A text with mistakes must not come into force in part. The operator sees all mistakes at
+// once, each with its place and what to write.
 #[test]
 fn mistakes_refuse_the_whole_text() {
     let text = "[defaults]\n\
@@ -62,8 +62,8 @@
     .assert_eq(&found);
 }
 
-// The operators promise more than there is. Some caller would be refused
-// although within its rate, or wait for a model that fits nowhere.
+// The operators promise more than the fleet has. Some caller would be refused although it
+// is within its rate, or would wait for a model that fits nowhere.
 #[test]
 fn promises_that_cannot_be_kept_are_refused() {
     let facts = configuration::Facts {
@@ -84,10 +84,10 @@
     .assert_eq(&found);
 }
 
-// Two operators read the same revision and both apply. Were both taken, the
-// second would undo the first without anybody noticing.
+// Two operators read the same revision and both apply a change. If both were accepted, the
+// second would silently undo the first.
 #[test]
-fn of_two_operators_with_equal_numbers_one_wins() {
+fn of_two_operators_with_the_same_revision_one_wins() {
     let mut group = fixture::Group::default();
 
     let first = group.answer(fixture::configure(
@@ -104,18 +104,18 @@
     ));
 
     assert_eq!(first, accepted(1));
-    let lost = operator::Applied::Conflict {
+    let conflict = operator::Applied::Conflict {
         current: number::Revision(1),
         by: "ada".into(),
         change: "c-1".parse().unwrap(),
     };
-    assert_eq!(second, answer::Answer::Applied(lost));
+    assert_eq!(second, answer::Answer::Applied(conflict));
     assert_eq!(group.fleet.defaults().rate.to_string(), "1/s");
 }
 
-// The answer to an apply is lost and the operator sends it again, when another
-// operator has already gone on from it. The resend must not count as lost, and
-// must not bring the older configuration back.
+// The answer to an apply is lost and the operator sends it again, after another operator
+// has applied a change on top of it. The resend must not count as a conflict, and must not
+// restore the older configuration.
 #[test]
 fn resend_gets_the_first_answer_and_changes_nothing() {
     let mut group = fixture::Group::default();
--- a/crates/cranberrygap-state/tests/endpoints.rs
+++ b/crates/cranberrygap-state/tests/endpoints.rs
@@ -19,9 +19,8 @@
     command::Command::Endpoint(step)
 }
 
-// An announcement of a process that died is held up on its way and arrives
-// after its successor's. Taken for news it would bring back memory and
-// addresses that are gone.
+// An announcement of a process that died arrives after its successor's. If it were
+// applied, it would restore memory and addresses that are gone.
 #[test]
 fn late_announcement_of_an_earlier_boot_changes_nothing() {
     let mut group = fixture::Group::default();
@@ -58,8 +57,8 @@
     assert_eq!(health(&group), view::Health::Ready);
 }
 
-// The leader notices silence while the endpoint announces itself again; the
-// verdict on the silence is committed second.
+// The leader notices the silence of an endpoint while the endpoint announces itself again;
+// the silence is committed second.
 #[test]
 fn silence_from_before_the_latest_announcement_does_not_count() {
     let mut group = fixture::Group::default();
@@ -71,8 +70,8 @@
     assert_eq!(health(&group), view::Health::Ready);
 }
 
-// An operator drains an endpoint, whose process keeps announcing that it is
-// ready. It must stay out of service until it was restarted.
+// An operator drains an endpoint whose process keeps announcing that it is ready. It must
+// stay out of service until its next boot.
 #[test]
 fn drained_endpoint_stays_drained_until_its_next_boot() {
     let mut group = fixture::Group::default();
--- a/crates/cranberrygap-state/tests/keys.rs
+++ b/crates/cranberrygap-state/tests/keys.rs
@@ -21,8 +21,8 @@
     assert_eq!(found.unwrap().workspace.as_str(), "fjordtall");
 }
 
-// The answer to a key issue is lost and the operator sends it again. A second
-// key would stay unknown to everybody and work for ever.
+// The answer to the issue of a key is lost and the operator sends it again. A second key
+// would be valid for ever without anybody knowing of it.
 #[test]
 fn resent_issue_makes_no_second_key() {
     let mut group = fixture::Group::default();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn withdrawn_key_is_gone_and_entries_learn_it() {
+fn withdrawn_key_is_removed_from_the_view() {
     let mut group = fixture::Group::default();
     let secret = fixture::secret(7);
     group.commit(fixture::issue("c-1", "fjordtall", &secret));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn snapshot_brings_the_whole_state_back() {
+fn snapshot_restores_the_whole_state() {
     let mut group = fixture::Group::default();
     group.commit(fixture::issue("c-1", "fjordtall", &fixture::secret(7)));
     group.commit(fixture::configure("c-2", "ada", 0, "[defaults]\n"));
--- a/crates/cranberrygap-state/tests/replicas.rs
+++ b/crates/cranberrygap-state/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas come to the same state, whether they apply or restore.
+//! Replicas reach the same state, whether they apply all commands or restore a snapshot.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fixture;
@@ -38,9 +38,9 @@
 }
 
 proptest! {
-    // A replica that lagged gets a snapshot and applies from there, others have
-    // applied everything. Did they differ, a caller would be told another thing
-    // after each change of the leader.
+    // A replica that lagged restores a snapshot and applies the rest; others have applied
+    // every command. If they differed, callers would get other answers after each change
+    // of the leader.
     #[test]
     fn restored_replica_does_not_differ(
         commands in collection::vec(any_command(), 1..60),
--- a/crates/cranberrygap-state/tests/shares.rs
+++ b/crates/cranberrygap-state/tests/shares.rs
@@ -1,4 +1,4 @@
-//! What a new leader learns of the shares that its predecessor granted.
+//! Allocations that a new leader finds in the replicated state.
 
 use cranberrygap_model::{id, number, token};
 use cranberrygap_state::share::{Shares, Step};
@@ -16,7 +16,7 @@
     }
 }
 
-fn after(allocations: &[share::Allocation]) -> Vec<share::Allocation> {
+fn held_after(allocations: &[share::Allocation]) -> Vec<share::Allocation> {
     let mut shares = Shares::default();
     for allocation in allocations {
         let allocations = vec![allocation.clone()];
@@ -25,34 +25,34 @@
     shares.iter().cloned().collect()
 }
 
-// A leader that does not know of what an entry lends, because it has a share too, hands the
-// same tokens out again.
+// An entry that lends may have a share, too. If the share replaced what the entry lends,
+// a new leader would hand the same tokens out again.
 #[test]
-fn an_entry_has_a_share_and_lends_at_once() {
+fn entry_has_a_share_and_lends_at_the_same_time() {
     let (lent, held) = (allocation(true, 5_000), allocation(false, 300));
 
-    let logged = after(&[lent.clone(), held.clone()]);
+    let held_by_entry = held_after(&[lent.clone(), held.clone()]);
 
-    assert_eq!(logged, [lent, held]);
+    assert_eq!(held_by_entry, [lent, held]);
 }
 
-// A share that was given back takes what its entry lends out of the log.
+// Closing a share must not close what the same entry lends.
 #[test]
-fn an_entry_that_gives_its_share_back_still_lends() {
+fn entry_that_returns_its_share_still_lends() {
     let (lent, held) = (allocation(true, 5_000), allocation(false, 300));
     let closed = allocation(false, 0);
 
-    let logged = after(&[held, lent.clone(), closed]);
+    let held_by_entry = held_after(&[held, lent.clone(), closed]);
 
-    assert_eq!(logged, [lent]);
+    assert_eq!(held_by_entry, [lent]);
 }
 
 // An allocation that replaced nothing would count twice.
 #[test]
-fn a_later_allocation_takes_the_place_of_the_one_before() {
+fn later_allocation_replaces_the_one_before() {
     let (first, second) = (allocation(true, 5_000), allocation(true, 4_000));
 
-    let logged = after(&[first, second.clone()]);
+    let held_by_entry = held_after(&[first, second.clone()]);
 
-    assert_eq!(logged, [second]);
+    assert_eq!(held_by_entry, [second]);
 }
--- a/crates/cranberrygap-state/tests/traffic.rs
+++ b/crates/cranberrygap-state/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Traffic plans, and endpoints that share an address one after the other.
+//! Traffic plans, and endpoints that have the same address one after the other.
 
 use cranberrygap_model::{duration, number, token};
 use cranberrygap_state::{command, endpoint, fleet, traffic as state};
@@ -77,8 +77,8 @@
     serde_json::from_value(text).expect("an announcement")
 }
 
-fn announce(fleet: &mut fleet::Fleet, index: u64, heard: announced::Announcement) {
-    let step = endpoint::Step::Announced(Box::new(heard));
+fn announce(fleet: &mut fleet::Fleet, index: u64, announcement: announced::Announcement) {
+    let step = endpoint::Step::Announced(Box::new(announcement));
     apply(fleet, index, command::Command::Endpoint(step));
 }
 
@@ -89,8 +89,8 @@
         .collect()
 }
 
-// An operator's older plan arrives again after a newer one, because its answer was
-// lost. Taken, it would bring back routes and keys that were withdrawn.
+// An operator's older plan arrives again after a newer one, because its answer was lost.
+// If it were accepted, it would restore routes and keys that were withdrawn.
 #[test]
 fn plan_with_a_lower_version_changes_nothing() {
     let mut fleet = fleet::Fleet::default();
@@ -103,8 +103,8 @@
     assert_eq!(fleet.traffic.source(), "seven");
 }
 
-// Two operators send different plans under one number. Whoever reads back must find
-// the one that was accepted first, on every instance and for good.
+// Two operators send different plans with the same version. Readers must find the one that
+// was accepted first, on every instance and for good.
 #[test]
 fn other_content_under_the_same_version_changes_nothing() {
     let mut fleet = fleet::Fleet::default();
@@ -143,13 +143,13 @@
     shared_key.workspaces.push(workspace("two", "first-key"));
 
     assert_eq!(state::check(&plan(1)), []);
-    for wrong in [unknown, same_place, no_weight, no_time, shared_key] {
-        assert_eq!(state::check(&wrong).len(), 1, "{wrong:?}");
+    for invalid in [unknown, same_place, no_weight, no_time, shared_key] {
+        assert_eq!(state::check(&invalid).len(), 1, "{invalid:?}");
     }
 }
 
-// Keys are read back by operators only. In a dump or in an entry's view they would
-// reach people and processes that need none.
+// Only operators may read keys back. In a dump or in the view of entries they would reach
+// people and processes that need none.
 #[test]
 fn shown_state_holds_neither_keys_nor_their_hashes() {
     let mut fleet = fleet::Fleet::default();
@@ -161,9 +161,8 @@
     assert!(!shown.contains(state::key_hash("first-key").as_str()));
 }
 
-// An endpoint is gone, its address was given to another one, and a heartbeat of the
-// first was held up on its way. Taken, it would have requests sent to the address of
-// a process that serves something else.
+// An endpoint is gone and its address was reused when a delayed heartbeat of it arrives.
+// If it were applied, requests would be sent to a process that serves something else.
 #[test]
 fn late_heartbeat_does_not_take_an_address_from_a_later_endpoint() {
     let mut fleet = fleet::Fleet::default();
@@ -175,7 +174,7 @@
 }
 
 #[test]
-fn later_endpoint_takes_the_place_of_the_one_before_at_its_address() {
+fn later_endpoint_replaces_the_one_before_at_its_address() {
     let mut fleet = fleet::Fleet::default();
     announce(&mut fleet, 1, heartbeat("old", "10.0.0.9:80", 1_000, 9));
 
@@ -184,10 +183,10 @@
     assert_eq!(names(&fleet), ["new"]);
 }
 
-// An endpoint says that it leaves, and a heartbeat that it sent before arrives after
-// that. Brought back by it, the endpoint would get requests until its end.
+// A heartbeat that an endpoint sent before it left arrives after the leave. If it restored
+// the endpoint, requests would be sent there until it ends.
 #[test]
-fn heartbeat_after_a_leave_does_not_bring_an_endpoint_back() {
+fn heartbeat_after_a_leave_does_not_restore_an_endpoint() {
     let mut fleet = fleet::Fleet::default();
     announce(&mut fleet, 1, heartbeat("app-1", "10.0.0.9:80", 1_000, 5));
     let leave = endpoint::Step::Departed("app-1".parse().expect("a name"));
@@ -200,10 +199,10 @@
     assert_eq!(names(&fleet), ["app-1"]);
 }
 
-// A process ends and starts again under its name; a heartbeat of the first arrives
-// after the second is known.
+// A process restarts under its name; a heartbeat of the earlier process arrives after the
+// later one is known.
 #[test]
-fn heartbeat_of_an_earlier_start_is_old() {
+fn heartbeat_of_an_earlier_start_is_stale() {
     let mut fleet = fleet::Fleet::default();
     announce(&mut fleet, 1, heartbeat("app-1", "10.0.0.9:80", 3_000, 1));
 
--- a/crates/cranberrygap-state/tests/trail.rs
+++ b/crates/cranberrygap-state/tests/trail.rs
@@ -22,7 +22,7 @@
     report(boot, fingerprints, None)
 }
 
-/// A crash while `probed` ran there by the leader's leave.
+/// Returns the report of a crash while `probed` ran there with the leader's permission.
 fn probed(boot: u64, fingerprints: &[&str], probed: &str) -> command::Command {
     report(boot, fingerprints, Some(probed))
 }
@@ -41,7 +41,7 @@
 }
 
 fn refused(group: &fixture::Group) -> Vec<String> {
-    let refused = group.fleet.quarantines.refused();
+    let refused = group.fleet.quarantines.active();
     refused.map(|found| found.fingerprint.to_string()).collect()
 }
 
@@ -60,8 +60,8 @@
     assert_eq!(trail.head, trail.records[2].hash);
 }
 
-// Somebody with access to a replica's disk alters what was accepted, or leaves
-// a record out, and hands the trail to the regulator.
+// Somebody with access to a replica's disk alters a record or leaves one out, and hands
+// the trail to an auditor.
 #[test]
 fn altered_and_missing_records_are_found() {
     let mut altered = trail().records;
@@ -74,22 +74,22 @@
 
     assert_eq!(
         audit::verify(&altered),
-        Err(audit::Break::Altered { number: 2 })
+        Err(audit::Error::Altered { number: 2 })
     );
     assert_eq!(
         audit::verify(&missing),
-        Err(audit::Break::Unchained { number: 3 })
+        Err(audit::Error::Unchained { number: 3 })
     );
     assert_eq!(
         audit::verify(&replaced),
-        Err(audit::Break::Unchained { number: 3 })
+        Err(audit::Error::Unchained { number: 3 })
     );
 }
 
-// One request crashes each engine that runs it; others only shared the engine.
-// Its second crash, alone among suspects, names it, and the innocents go on.
+// One request crashes each engine that runs it; others only ran on the same engine. Its
+// second crash, without another suspect, identifies it; the innocent ones are not refused.
 #[test]
-fn second_crash_condemns_the_culprit_and_spares_innocents() {
+fn second_crash_quarantines_the_culprit_but_no_innocent_request() {
     let mut group = fixture::Group::default();
     group.commit(crash(1, &["culprit", "innocent"]));
 
@@ -103,11 +103,10 @@
     assert_eq!(refused(&group), ["culprit"]);
 }
 
-// Two entries report the same two crashes apart from each other. Each report
-// names one suspect that it knows; condemned for that, the innocent one of them
-// would be refused for ten minutes.
+// Two entries report the same two crashes independently. Each report names one suspect; if
+// that were enough for a quarantine, the innocent request would be refused for ten minutes.
 #[test]
-fn suspect_without_leave_is_not_condemned() {
+fn suspect_without_permission_is_not_quarantined() {
     let mut group = fixture::Group::default();
     group.commit(crash(1, &["culprit", "innocent"]));
 
@@ -117,10 +116,10 @@
     assert_eq!(refused(&group), ["culprit"]);
 }
 
-// A suspect was answered whole since its first crash. What happens beside it
-// later is not its doing.
+// A suspect got a complete answer since its first crash, so it did not cause a later crash
+// of an endpoint that it runs on.
 #[test]
-fn answered_suspect_is_no_longer_one() {
+fn answered_suspect_is_cleared() {
     let mut group = fixture::Group::default();
     group.commit(crash(1, &["innocent"]));
     let cleared = claim::Crash {
@@ -140,9 +139,9 @@
     assert!(refused(&group).is_empty());
 }
 
-// Two entries tell of the same dead process.
+// Two entries report the same dead process.
 #[test]
-fn one_crash_that_is_reported_twice_condemns_nobody() {
+fn one_crash_that_is_reported_twice_quarantines_nothing() {
     let mut group = fixture::Group::default();
 
     group.commit(crash(1, &["one"]));
@@ -152,7 +151,7 @@
 }
 
 #[test]
-fn quarantine_ends_after_its_term() {
+fn quarantine_ends_after_its_time() {
     let mut group = fixture::Group::default();
     group.commit(crash(1, &["culprit"]));
     group.commit(probed(2, &["culprit"], "culprit"));
--- a/crates/cranberrygap/tests/evidence.rs
+++ b/crates/cranberrygap/tests/evidence.rs
@@ -53,7 +53,7 @@
     let mut trail = chain::Trail::default();
     for (place, (subject, detail)) in facts.iter().enumerate() {
         let place = place as u64 + 1;
-        let fact = chain::Fact {
+        let fact = chain::Event {
             subject: match *subject {
                 "claim" => "claim",
                 "key" => "key",
