--- a/crates/cranberrygap-agreement/src/node/replication.rs
+++ b/crates/cranberrygap-agreement/src/node/replication.rs
@@ -5,7 +5,7 @@
 use super::Node;
 use crate::{entry, message, position, progress, replica};
 
-/// Next thing to send to one follower.
+/// Next message to one follower, if any.
 enum Action {
     Nothing,
     Entries {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Sends entries or, without any, an empty append, so that the follower knows its leader.
+    /// Sends what is due or, if nothing is, an empty append, so that the follower knows its leader.
     pub(super) fn send_heartbeat(&mut self, now: duration::Instant, to: replica::Id) {
         if self.replicate(now, to) {
             return;
--- a/crates/cranberrygap-state/src/endpoint.rs
+++ b/crates/cranberrygap-state/src/endpoint.rs
@@ -85,8 +85,8 @@
         if self.is_departed(name, announcement.boot) {
             return Ok(Vec::new());
         }
-        if let Some(known) = self.endpoints.get(name) {
-            if known.is_stale(announcement) {
+        if let Some(registration) = self.endpoints.get(name) {
+            if registration.is_stale(announcement) {
                 return Ok(Vec::new());
             }
         } else if self.endpoints.len() >= MAX_ENDPOINTS {
@@ -101,14 +101,14 @@
 
     fn register(&mut self, announcement: &endpoint::Announcement) -> view::Change {
         let name = announcement.endpoint.clone();
-        let known = self.endpoints.entry(name).or_insert_with(|| Registration {
+        let registration = self.endpoints.entry(name).or_insert_with(|| Registration {
             announcement: announcement.clone(),
             health: health(announcement, false),
             drained: false,
             former_boots: SmallVec::new(),
         });
-        known.update(announcement);
-        change_of(known)
+        registration.update(announcement);
+        change_of(registration)
     }
 
     /// Removes the endpoints that had the address before; fails if a later one has it.
@@ -124,9 +124,9 @@
         let Some(started) = started(announcement) else {
             return Ok(Vec::new());
         };
-        let has_address = |known: &&Registration| {
-            known.announcement.address == announcement.address
-                && known.announcement.endpoint != announcement.endpoint
+        let has_address = |registration: &&Registration| {
+            registration.announcement.address == announcement.address
+                && registration.announcement.endpoint != announcement.endpoint
         };
         let others: Vec<&Registration> = self.endpoints.values().filter(has_address).collect();
         if others
@@ -147,9 +147,9 @@
 
     /// Removes an endpoint for good; its process does not return.
     fn remove_departed(&mut self, name: &id::Endpoint) -> Option<view::Change> {
-        let known = self.endpoints.remove(name)?;
+        let registration = self.endpoints.remove(name)?;
         self.departed
-            .push_back((name.clone(), known.announcement.boot));
+            .push_back((name.clone(), registration.announcement.boot));
         while self.departed.len() > MAX_DEPARTED {
             self.departed.pop_front();
         }
@@ -164,13 +164,16 @@
     }
 
     fn set_health(&mut self, seen: &view::Seen, health: view::Health) -> Option<view::Change> {
-        let known = self.current_registration(seen)?;
-        let in_service = matches!(known.health, view::Health::Ready | view::Health::Suspect);
-        if !in_service || known.health == health {
+        let registration = self.current_registration(seen)?;
+        let in_service = matches!(
+            registration.health,
+            view::Health::Ready | view::Health::Suspect
+        );
+        if !in_service || registration.health == health {
             return None;
         }
-        known.health = health;
-        Some(change_of(known))
+        registration.health = health;
+        Some(change_of(registration))
     }
 
     fn remove_if_current(&mut self, seen: &view::Seen) -> Option<view::Change> {
@@ -182,19 +185,19 @@
 
     /// Returns the registration, if the message is from its current process.
     fn current_registration(&mut self, seen: &view::Seen) -> Option<&mut Registration> {
-        let known = self.endpoints.get_mut(&seen.endpoint)?;
-        let is_same_boot = known.announcement.boot == seen.boot;
+        let registration = self.endpoints.get_mut(&seen.endpoint)?;
+        let is_same_boot = registration.announcement.boot == seen.boot;
         // An older sequence is from before the latest announcement: it was heard since.
-        let is_latest = known.announcement.sequence <= seen.sequence;
-        (is_same_boot && is_latest).then_some(known)
+        let is_latest = registration.announcement.sequence <= seen.sequence;
+        (is_same_boot && is_latest).then_some(registration)
     }
 
     /// Takes an endpoint out of service until its next boot.
     pub fn drain(&mut self, name: &str) -> Option<Vec<view::Change>> {
-        let known = self.endpoints.get_mut(name)?;
-        known.drained = true;
-        known.health = view::Health::Leaving;
-        Some(vec![change_of(known)])
+        let registration = self.endpoints.get_mut(name)?;
+        registration.drained = true;
+        registration.health = view::Health::Leaving;
+        Some(vec![change_of(registration)])
     }
 
     /// Returns whether an endpoint is known.
@@ -218,7 +221,7 @@
     pub fn announcements(&self) -> impl Iterator<Item = (&endpoint::Announcement, view::Health)> {
         self.endpoints
             .values()
-            .map(|known| (&known.announcement, known.health))
+            .map(|registration| (&registration.announcement, registration.health))
     }
 }
 
@@ -270,8 +273,8 @@
     }
 }
 
-fn change_of(known: &Registration) -> view::Change {
+fn change_of(registration: &Registration) -> view::Change {
     view::Change::EndpointChanged {
-        endpoint: known.to_view(),
+        endpoint: registration.to_view(),
     }
 }
--- a/crates/cranberrygap-state/src/member.rs
+++ b/crates/cranberrygap-state/src/member.rs
@@ -68,28 +68,28 @@
     }
 
     fn observe(&mut self, member: &view::Member, boot: number::Boot) -> Outcome {
-        let Some(known) = self.members.get_mut(&member.instance) else {
+        let Some(registration) = self.members.get_mut(&member.instance) else {
             return self.add(member, boot);
         };
-        if known.former_boots.contains(&boot) {
+        if registration.former_boots.contains(&boot) {
             return Outcome::default();
         }
         let mut outcome = Outcome::default();
-        if known.boot != boot {
-            outcome.ended = Some((member.instance.clone(), known.boot));
-            known.former_boots.push(known.boot);
-            if known.former_boots.len() > MAX_FORMER_BOOTS {
-                known.former_boots.remove(0);
+        if registration.boot != boot {
+            outcome.ended = Some((member.instance.clone(), registration.boot));
+            registration.former_boots.push(registration.boot);
+            if registration.former_boots.len() > MAX_FORMER_BOOTS {
+                registration.former_boots.remove(0);
             }
-            known.boot = boot;
-            known.drained = false;
+            registration.boot = boot;
+            registration.drained = false;
         }
         let mut member = member.clone();
-        if known.drained && member.phase == view::Phase::Active {
+        if registration.drained && member.phase == view::Phase::Active {
             member.phase = view::Phase::Draining;
         }
-        if member != known.member {
-            known.member = member.clone();
+        if member != registration.member {
+            registration.member = member.clone();
             outcome.changes.push(view::Change::MemberChanged { member });
         }
         outcome
@@ -99,13 +99,13 @@
         if self.members.len() >= MAX_MEMBERS && !self.evict_left_member() {
             return Outcome::default();
         }
-        let known = Registration {
+        let registration = Registration {
             member: member.clone(),
             boot,
             drained: false,
             former_boots: SmallVec::new(),
         };
-        self.members.insert(member.instance.clone(), known);
+        self.members.insert(member.instance.clone(), registration);
         let member = member.clone();
         Outcome {
             changes: vec![view::Change::MemberChanged { member }],
@@ -115,9 +115,9 @@
 
     /// Evicts a member that left; entries may keep it as left, which is harmless.
     fn evict_left_member(&mut self) -> bool {
-        let has_left = |known: &Registration| known.member.phase == view::Phase::Left;
+        let has_left = |registration: &Registration| registration.member.phase == view::Phase::Left;
         let mut members = self.members.iter();
-        let found = members.find(|(_, known)| has_left(known));
+        let found = members.find(|(_, registration)| has_left(registration));
         let Some(name) = found.map(|(name, _)| name.clone()) else {
             return false;
         };
@@ -125,15 +125,16 @@
     }
 
     fn mark_left(&mut self, instance: &id::Instance, boot: number::Boot) -> Outcome {
-        let known = self.members.get_mut(instance);
-        let Some(known) = known.filter(|known| known.boot == boot) else {
+        let registration = self.members.get_mut(instance);
+        let Some(registration) = registration.filter(|registration| registration.boot == boot)
+        else {
             return Outcome::default();
         };
-        if known.member.phase == view::Phase::Left {
+        if registration.member.phase == view::Phase::Left {
             return Outcome::default();
         }
-        known.member.phase = view::Phase::Left;
-        let member = known.member.clone();
+        registration.member.phase = view::Phase::Left;
+        let member = registration.member.clone();
         Outcome {
             changes: vec![view::Change::MemberChanged { member }],
             ended: Some((instance.clone(), boot)),
@@ -142,12 +143,12 @@
 
     /// Takes a member out of service until its next boot.
     pub fn drain(&mut self, name: &str) -> Option<(view::Role, Vec<view::Change>)> {
-        let known = self.members.get_mut(name)?;
-        known.drained = true;
-        if known.member.phase == view::Phase::Active {
-            known.member.phase = view::Phase::Draining;
+        let registration = self.members.get_mut(name)?;
+        registration.drained = true;
+        if registration.member.phase == view::Phase::Active {
+            registration.member.phase = view::Phase::Draining;
         }
-        let member = known.member.clone();
+        let member = registration.member.clone();
         let role = member.role;
         Some((role, vec![view::Change::MemberChanged { member }]))
     }
@@ -155,17 +156,21 @@
     /// Returns whether an announcement of a member would change the state.
     #[must_use]
     pub fn would_change(&self, member: &view::Member, boot: number::Boot) -> bool {
-        let mut trial = Self::default();
-        if let Some(known) = self.members.get(&member.instance) {
-            trial.members.insert(member.instance.clone(), known.clone());
+        let mut scratch = Self::default();
+        if let Some(registration) = self.members.get(&member.instance) {
+            scratch
+                .members
+                .insert(member.instance.clone(), registration.clone());
         }
-        let outcome = trial.observe(member, boot);
+        let outcome = scratch.observe(member, boot);
         !outcome.changes.is_empty() || outcome.ended.is_some()
     }
 
     /// Returns all members by name.
     pub fn iter(&self) -> impl Iterator<Item = &view::Member> {
-        self.members.values().map(|known| &known.member)
+        self.members
+            .values()
+            .map(|registration| &registration.member)
     }
 
     /// Returns whether a process has certainly ended.
@@ -173,14 +178,14 @@
     /// It has if a later process of its instance was heard.
     #[must_use]
     pub fn has_ended(&self, instance: &id::Instance, boot: number::Boot) -> bool {
-        let known = self.members.get(instance);
-        known.is_some_and(|known| known.former_boots.contains(&boot))
+        let registration = self.members.get(instance);
+        registration.is_some_and(|registration| registration.former_boots.contains(&boot))
     }
 
     /// Returns all members with their boots.
     pub fn boots(&self) -> impl Iterator<Item = (&view::Member, number::Boot)> {
         self.members
             .values()
-            .map(|known| (&known.member, known.boot))
+            .map(|registration| (&registration.member, registration.boot))
     }
 }
