--- a/crates/cranberrygap-bench/src/measure/agreement/replicas.rs
+++ b/crates/cranberrygap-bench/src/measure/agreement/replicas.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranberrygap_control::{log::Log as _, machine, replica, transport};
+use cranberrygap_control::{log::Log as _, replica, state_machine, transport};
 use cranberrygap_model::{address, id, number};
 use parking_lot::Mutex;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Counter(pub(super) AtomicU64);
 
-impl machine::Machine for Counter {
+impl state_machine::StateMachine for Counter {
     fn apply(&self, _index: number::Index, _payload: &[u8]) -> Bytes {
         self.0.fetch_add(1, Ordering::Relaxed);
         Bytes::new()
@@ -73,7 +73,7 @@
             .snapshot_after(snapshot_after)
             .build();
         let counter = Arc::new(Counter::default());
-        let machine: Arc<dyn machine::Machine> = Arc::<Counter>::clone(&counter);
+        let machine: Arc<dyn state_machine::StateMachine> = Arc::<Counter>::clone(&counter);
         let line = Line {
             own: own.clone(),
             receivers: Arc::clone(&receivers),
--- a/crates/cranberrygap-bench/src/measure/leader.rs
+++ b/crates/cranberrygap-bench/src/measure/leader.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use clap::Parser;
-use cranberrygap_control::{encoded, gather, leadership};
+use cranberrygap_control::{delta, encoded, leadership};
 use cranberrygap_model::{duration, id, number, token};
 use cranberrygap_policy::limits::{self, granter};
 use cranberrygap_policy::pace;
@@ -180,7 +180,7 @@
             announcements: Vec::new(),
             demands: Vec::new(),
         };
-        black_box(office.confirm(at(round), &confirm));
+        black_box(office.grant_lease(at(round), &confirm));
     })
 }
 
@@ -192,11 +192,11 @@
         retiring: Vec::new(),
         adapters: vec!["model/a1".parse().expect("a plain name")],
     };
-    let change = Arc::new(encoded::Encoded::new(view::Change::Resided { residency }));
+    let change = Arc::new(encoded::Change::new(view::Change::Resided { residency }));
     micros(rounds, |round| {
-        let mut waiting = gather::Gather::default();
-        waiting.take(number::Revision(round), &[Arc::clone(&change)]);
-        let frame = waiting.frame(at(round));
+        let mut waiting = delta::Buffer::default();
+        waiting.push(number::Revision(round), &[Arc::clone(&change)]);
+        let frame = waiting.take_delta(at(round));
         black_box(serde_json::value::to_raw_value(&frame).expect("frames have text keys only"));
     })
 }
--- a/crates/cranberrygap-bench/src/soak/view/control.rs
+++ b/crates/cranberrygap-bench/src/soak/view/control.rs
@@ -6,7 +6,7 @@
 use cranberrygap_agreement::{
     entry, formation, hard, input, limits, message, node, output, replica, steward, write,
 };
-use cranberrygap_control::{encoded, gather, leadership};
+use cranberrygap_control::{delta, encoded, leadership};
 use cranberrygap_model::{address, duration, id, number};
 use cranberrygap_state::{command, fleet, member};
 use cranberrygap_wire::view;
@@ -29,7 +29,7 @@
     /// Whether news were held back, so that the next frame is a snapshot.
     pub gap: bool,
     /// What waits for the next frame.
-    pub gather: gather::Gather,
+    pub gather: delta::Buffer,
 }
 
 /// A change whose sender waits.
@@ -209,12 +209,12 @@
         if changes.is_empty() {
             return;
         }
-        let changes = changes.into_iter().map(encoded::Encoded::new);
+        let changes = changes.into_iter().map(encoded::Change::new);
         let changes: Vec<_> = changes.map(Arc::new).collect();
         for subscriber in &mut self.subscribers {
             subscriber.gap |= hung;
             if !subscriber.gap {
-                subscriber.gather.take(revision, &changes);
+                subscriber.gather.push(revision, &changes);
             }
         }
     }
@@ -249,7 +249,7 @@
         let binding = self.binding(flaw);
         let held = self.office.take().filter(|held| held.term() == term);
         let mut office = held.unwrap_or_else(|| leadership::Leadership::new(term, now, binding));
-        office.mark(now, binding);
+        office.record_revision(now, binding);
         Some(self.office.insert(office))
     }
 
--- a/crates/cranberrygap-bench/src/soak/view/duties.rs
+++ b/crates/cranberrygap-bench/src/soak/view/duties.rs
@@ -1,7 +1,7 @@
 //! What a control process does beside the protocol: leases, views, acknowledgements.
 
 use cranberrygap_agreement::{formation, input};
-use cranberrygap_control::{gather, leadership};
+use cranberrygap_control::{delta, leadership};
 use cranberrygap_model::{duration, id};
 use cranberrygap_state::command;
 use cranberrygap_wire::view;
@@ -82,8 +82,8 @@
             Packet::Refused { call }
         } else {
             let gap = false;
-            let mut gather = gather::Gather::default();
-            gather.clear(clock);
+            let mut gather = delta::Buffer::default();
+            gather.reset(clock);
             let subscriber = Subscriber {
                 entry,
                 call,
@@ -161,7 +161,7 @@
                 continue;
             };
             let mut confirmed = view::Confirmed {
-                lease: office.confirm(clock, &one.confirm),
+                lease: office.grant_lease(clock, &one.confirm),
                 revision,
                 term,
             };
@@ -201,16 +201,16 @@
         for subscriber in &mut running.subscribers {
             if let Some(snapshot) = snapshot.as_ref().filter(|_| subscriber.gap) {
                 subscriber.gap = false;
-                subscriber.gather.clear(clock);
+                subscriber.gather.reset(clock);
                 frames.push(subscriber.frame(snapshot.clone()));
             } else if !hung
                 && subscriber
                     .gather
-                    .due(followers)
+                    .next_due(followers)
                     .is_some_and(|due| due <= clock)
             {
-                let frame = subscriber.gather.frame(clock);
-                frames.extend(frame.map(|delta| subscriber.frame(delta.frame())));
+                let frame = subscriber.gather.take_delta(clock);
+                frames.extend(frame.map(|delta| subscriber.frame(delta.to_frame())));
             } else if beats {
                 frames.push(subscriber.frame(view::Frame::Heartbeat { revision }));
             }
@@ -247,7 +247,7 @@
             let office = running.office.as_mut();
             let settled = match (one.revision, office) {
                 (Some(_), _) if flaw == Flaw::AcknowledgedAtCommit => true,
-                (Some(revision), Some(office)) => office.acknowledge(clock, revision, fleet),
+                (Some(revision), Some(office)) => office.try_acknowledge(clock, revision, fleet),
                 _ => false,
             };
             if settled || flaw == Flaw::AcknowledgedBeforeQuorum {
--- a/crates/cranberrygap-control/src/confirmation.rs
+++ b/crates/cranberrygap-control/src/confirmation.rs
@@ -65,7 +65,7 @@
         let status = self.proposer.check_leads()?;
         let grant = || {
             self.detector
-                .with_office(|now, leadership| leadership.confirm(now, confirm))
+                .with_office(|now, leadership| leadership.grant_lease(now, confirm))
         };
         let lease = self.metrics.work(metric::Work::Lease, grant);
         let Some(lease) = lease else {
--- a/crates/cranberrygap-control/src/gather.rs
+++ b/crates/cranberrygap-control/src/delta.rs
@@ -9,16 +9,16 @@
 use serde::ser::SerializeStruct as _;
 use serde::{Serialize, Serializer};
 
-use crate::encoded::Encoded;
+use crate::encoded;
 
 /// Changes since the last frame.
 ///
 /// A frame for each change would cost a process the more, the more follow the view from it.
 /// With a gap between frames that grows with them, its frames a second stay bounded.
 #[derive(Debug, Clone, Default)]
-pub struct Gather {
+pub struct Buffer {
     revision: number::Revision,
-    changes: Vec<Arc<Encoded>>,
+    changes: Vec<Arc<encoded::Change>>,
     sent: Option<duration::Instant>,
 }
 
@@ -28,7 +28,7 @@
     /// The revision that they lead to.
     pub revision: number::Revision,
     /// The changes, in their order.
-    pub changes: Vec<Arc<Encoded>>,
+    pub changes: Vec<Arc<encoded::Change>>,
 }
 
 /// What a change replaces as a whole.
@@ -43,15 +43,15 @@
     Lender(id::Workspace),
 }
 
-impl Gather {
+impl Buffer {
     /// Takes the changes that lead to `revision`.
-    pub fn take(&mut self, revision: number::Revision, changes: &[Arc<Encoded>]) {
+    pub fn push(&mut self, revision: number::Revision, changes: &[Arc<encoded::Change>]) {
         self.revision = revision;
         self.changes.extend(changes.iter().cloned());
     }
 
     /// Forgets what waits; a snapshot that was sent at `now` holds it.
-    pub fn clear(&mut self, now: duration::Instant) {
+    pub fn reset(&mut self, now: duration::Instant) {
         self.changes.clear();
         self.sent = Some(now);
     }
@@ -59,7 +59,7 @@
     /// When the next frame may be sent by a process with so many followers; `None` while
     /// nothing waits.
     #[must_use]
-    pub fn due(&self, followers: usize) -> Option<duration::Instant> {
+    pub fn next_due(&self, followers: usize) -> Option<duration::Instant> {
         if self.changes.is_empty() {
             return None;
         }
@@ -68,7 +68,7 @@
     }
 
     /// The frame with all that waits, sent at `now`.
-    pub fn frame(&mut self, now: duration::Instant) -> Option<Delta> {
+    pub fn take_delta(&mut self, now: duration::Instant) -> Option<Delta> {
         if self.changes.is_empty() {
             return None;
         }
@@ -82,7 +82,7 @@
 impl Delta {
     /// The same with its changes read.
     #[must_use]
-    pub fn frame(&self) -> view::Frame {
+    pub fn to_frame(&self) -> view::Frame {
         let changes = self.changes.iter();
         view::Frame::Delta {
             revision: self.revision,
@@ -94,7 +94,7 @@
 impl Serialize for Delta {
     /// As [`view::Frame::Delta`], around changes that are written already.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let changes: Vec<&Encoded> = self.changes.iter().map(Arc::as_ref).collect();
+        let changes: Vec<&encoded::Change> = self.changes.iter().map(Arc::as_ref).collect();
         let mut frame = serializer.serialize_struct("Delta", 3)?;
         frame.serialize_field("kind", "delta")?;
         frame.serialize_field("revision", &self.revision)?;
@@ -104,9 +104,9 @@
 }
 
 /// Leaves out changes that a later one replaces as a whole.
-fn latest(changes: Vec<Arc<Encoded>>) -> Vec<Arc<Encoded>> {
+fn latest(changes: Vec<Arc<encoded::Change>>) -> Vec<Arc<encoded::Change>> {
     let mut known = BTreeSet::new();
-    let mut kept: Vec<Arc<Encoded>> = changes
+    let mut kept: Vec<Arc<encoded::Change>> = changes
         .into_iter()
         .rev()
         .filter(|change| subject(change.change()).is_none_or(|subject| known.insert(subject)))
--- a/crates/cranberrygap-control/src/detector.rs
+++ b/crates/cranberrygap-control/src/detector.rs
@@ -80,7 +80,7 @@
             spdlog::info!("leader: takes leadership in term {}", status.term);
             leadership::Leadership::new(status.term, now, binding)
         });
-        current.mark(now, binding);
+        current.record_revision(now, binding);
         let result = work(now, &mut current);
         *leadership = Some(current);
         Some(result)
@@ -96,7 +96,7 @@
         loop {
             let settled = self.with_office(|now, leadership| {
                 self.state
-                    .read(|fleet| leadership.acknowledge(now, revision, fleet))
+                    .read(|fleet| leadership.try_acknowledge(now, revision, fleet))
             })?;
             if settled {
                 return Some(());
--- a/crates/cranberrygap-control/src/encoded.rs
+++ b/crates/cranberrygap-control/src/encoded.rs
@@ -7,12 +7,12 @@
 /// A change and its JSON, which is written once for all followers: a plan is tens of
 /// kilobytes.
 #[derive(Debug, Clone)]
-pub struct Encoded {
+pub struct Change {
     change: view::Change,
     json: Box<RawValue>,
 }
 
-impl Encoded {
+impl Change {
     /// Writes `change` down.
     ///
     /// # Panics
@@ -32,7 +32,7 @@
     }
 }
 
-impl Serialize for Encoded {
+impl Serialize for Change {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         self.json.serialize(serializer)
     }
--- a/crates/cranberrygap-control/src/leadership.rs
+++ b/crates/cranberrygap-control/src/leadership.rs
@@ -120,7 +120,7 @@
     }
 
     /// Notes the revision of the last binding change; called at least once a period.
-    pub fn mark(&mut self, now: duration::Instant, revision: number::Revision) {
+    pub fn record_revision(&mut self, now: duration::Instant, revision: number::Revision) {
         if self
             .marks
             .back()
@@ -173,7 +173,11 @@
     /// An entry may follow a control process that was cut off, and still reach
     /// the leader. It would serve withdrawn keys for as long as it is given
     /// leases. So an entry whose view is behind by more than [`LAG`] gets none.
-    pub fn confirm(&mut self, now: duration::Instant, confirm: &view::Confirm) -> duration::Span {
+    pub fn grant_lease(
+        &mut self,
+        now: duration::Instant,
+        confirm: &view::Confirm,
+    ) -> duration::Span {
         let required = self.required(now).max(self.acknowledged);
         let lease = if confirm.revision >= required {
             LEASE
@@ -247,7 +251,7 @@
     /// the answer waits until each entry has confirmed the revision, or its lease has at most
     /// [`LEASE_LEFT`] left, and no older view is given a lease from then on. No other time of
     /// the protocol is part of that sum; a successor has the change, and requires it.
-    pub fn acknowledge(
+    pub fn try_acknowledge(
         &mut self,
         now: duration::Instant,
         revision: number::Revision,
--- a/crates/cranberrygap-control/src/lib.rs
+++ b/crates/cranberrygap-control/src/lib.rs
@@ -1,14 +1,13 @@
 //! The control process: replicated state served to entries and operators.
 
 pub mod confirmation;
+pub mod delta;
 pub mod detector;
 pub mod encoded;
 pub mod followers;
-pub mod gather;
 pub mod leadership;
 pub mod links;
 pub mod log;
-pub mod machine;
 pub mod metric;
 pub mod process;
 pub mod proposer;
@@ -17,6 +16,7 @@
 pub mod replicated;
 pub mod residency;
 pub mod shares;
+pub mod state_machine;
 pub mod transport;
 
 mod operators;
--- a/crates/cranberrygap-control/src/log.rs
+++ b/crates/cranberrygap-control/src/log.rs
@@ -35,7 +35,7 @@
 pub struct Committed {
     /// Position in the log.
     pub index: number::Index,
-    /// The answer of [`crate::machine::Machine::apply`].
+    /// The answer of [`crate::state_machine::StateMachine::apply`].
     pub answer: Bytes,
 }
 
--- a/crates/cranberrygap-control/src/process.rs
+++ b/crates/cranberrygap-control/src/process.rs
@@ -86,7 +86,7 @@
         Self::start_with(
             settings,
             secrets,
-            residency::none(),
+            residency::no_runners(),
             metric::Recorder::none(),
         )
         .await
@@ -100,7 +100,7 @@
     pub async fn start_with(
         mut settings: settings::Control,
         secrets: Secrets,
-        runners: Arc<dyn residency::Runners>,
+        runners: Arc<dyn residency::RunnerClient>,
         metrics: metric::Recorder,
     ) -> Result<Self, Error> {
         settle(&mut settings);
@@ -138,20 +138,20 @@
 
     /// Where entries and other control processes connect.
     #[must_use]
-    pub const fn peers(&self) -> address::Socket {
+    pub const fn peers_address(&self) -> address::Socket {
         self.peers.address()
     }
 
     /// Where operators connect.
     #[must_use]
-    pub const fn admin(&self) -> address::Socket {
+    pub const fn admin_address(&self) -> address::Socket {
         self.admin.address()
     }
 
     /// What a translator of operators' and endpoints' calls works with.
     #[must_use]
-    pub fn public(&self) -> public::Public {
-        public::Public::new(Arc::clone(&self.parts.desk))
+    pub fn public_api(&self) -> public::Api {
+        public::Api::new(Arc::clone(&self.parts.desk))
     }
 
     /// Whether this process leads.
@@ -207,7 +207,7 @@
         state: Arc<replicated::State>,
         replica: Arc<replica::Replica>,
         platform: Arc<dyn orders::Platform>,
-        runners: Arc<dyn residency::Runners>,
+        runners: Arc<dyn residency::RunnerClient>,
         metrics: metric::Recorder,
     ) -> Self {
         let clock = clock::Clock::start();
@@ -358,7 +358,7 @@
         .founds(!settings.group.join)
         .folder(PathBuf::from(settings.group.data.as_str()))
         .build();
-    let machine: Arc<dyn crate::machine::Machine> = Arc::clone(state) as _;
+    let machine: Arc<dyn crate::state_machine::StateMachine> = Arc::clone(state) as _;
     let transport: Arc<dyn transport::Transport> = Arc::clone(links) as _;
     Ok(replica::Replica::start(wanted, machine, transport)?)
 }
--- a/crates/cranberrygap-control/src/public.rs
+++ b/crates/cranberrygap-control/src/public.rs
@@ -17,25 +17,25 @@
 pub enum Refusal {
     /// Another process leads; the call may be repeated there.
     #[error("{leader} leads")]
-    Elsewhere {
+    NotLeader {
         /// The leader, as the group's members reach it.
         leader: address::Peer,
     },
     /// Nobody is known to lead, or whether the change commits is not known.
     #[error("{0}")]
-    Unsure(SmolStr),
+    Unavailable(SmolStr),
     /// The call is wrong, and would be wrong elsewhere.
     #[error("{0}")]
-    Wrong(SmolStr),
+    Invalid(SmolStr),
 }
 
 /// What a translator works with.
 #[derive(Debug, Clone)]
-pub struct Public {
+pub struct Api {
     desk: Arc<peers::Desk>,
 }
 
-impl Public {
+impl Api {
     pub(crate) const fn new(desk: Arc<peers::Desk>) -> Self {
         Self { desk }
     }
@@ -46,9 +46,9 @@
     /// # Errors
     ///
     /// A mistake in the plan, or this process cannot commit it.
-    pub async fn replace(&self, plan: traffic::Plan, source: SmolStr) -> Result<(), Refusal> {
+    pub async fn replace_plan(&self, plan: traffic::Plan, source: SmolStr) -> Result<(), Refusal> {
         if let Some(mistake) = state::check(&plan).first() {
-            return Err(Refusal::Wrong(SmolStr::new(mistake.to_string())));
+            return Err(Refusal::Invalid(SmolStr::new(mistake.to_string())));
         }
         let version = plan.version;
         let held = self.leading(|fleet| fleet.traffic.version())?;
@@ -67,7 +67,7 @@
     /// Waits until all may rely on what is committed now.
     async fn settle(&self) -> Result<(), Refusal> {
         let settled = self.desk.detector.settle().await;
-        settled.ok_or_else(|| Refusal::Unsure("the leader's lease ran out".into()))
+        settled.ok_or_else(|| Refusal::Unavailable("the leader's lease ran out".into()))
     }
 
     /// The text of the plan in force; `None` before the first.
@@ -75,13 +75,13 @@
     /// # Errors
     ///
     /// When this process cannot be sure that it knows the newest.
-    pub fn read(&self) -> Result<Option<SmolStr>, Refusal> {
+    pub fn plan_source(&self) -> Result<Option<SmolStr>, Refusal> {
         let source = self.leading(|fleet| {
             let known = fleet.traffic.version();
             known.map(|_version| fleet.traffic.source().clone())
         })?;
         // The lease may have ended while this process stood still.
-        self.check()?;
+        self.check_leads()?;
         Ok(source)
     }
 
@@ -106,7 +106,7 @@
             .desk
             .detector
             .with_office(|now, leadership| leadership.hear(now, &seen));
-        heard.ok_or_else(|| Refusal::Unsure("the leader's lease ran out".into()))?;
+        heard.ok_or_else(|| Refusal::Unavailable("the leader's lease ran out".into()))?;
         if leaves {
             // Told that it may go while an entry still sends it work, it would end with
             // requests of callers in its queue.
@@ -123,7 +123,7 @@
     /// # Errors
     ///
     /// This process does not lead, or cannot commit it.
-    pub async fn depart(
+    pub async fn remove_endpoint(
         &self,
         name: id::Endpoint,
         boot: Option<number::Boot>,
@@ -144,8 +144,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Elsewhere`] or [`Refusal::Unsure`].
-    pub fn check(&self) -> Result<(), Refusal> {
+    /// [`Refusal::NotLeader`] or [`Refusal::Unavailable`].
+    pub fn check_leads(&self) -> Result<(), Refusal> {
         let checked = self.desk.proposer.check_leads();
         checked.map(drop).map_err(|fault| refusal(&fault))
     }
@@ -160,7 +160,7 @@
         &self,
         work: impl FnOnce(&cranberrygap_state::fleet::Fleet) -> R,
     ) -> Result<R, Refusal> {
-        self.check()?;
+        self.check_leads()?;
         Ok(self.desk.state.read(work))
     }
 }
@@ -181,11 +181,11 @@
 
 fn refusal(fault: &server::Fault) -> Refusal {
     if fault.code == method::REFUSED {
-        return Refusal::Wrong(fault.message.clone());
+        return Refusal::Invalid(fault.message.clone());
     }
     let leader = serde_json::from_value::<Option<address::Peer>>(fault.data.clone());
     match leader.ok().flatten() {
-        Some(leader) if fault.code == method::NOT_LEADER => Refusal::Elsewhere { leader },
-        _ => Refusal::Unsure(fault.message.clone()),
+        Some(leader) if fault.code == method::NOT_LEADER => Refusal::NotLeader { leader },
+        _ => Refusal::Unavailable(fault.message.clone()),
     }
 }
--- a/crates/cranberrygap-control/src/replica.rs
+++ b/crates/cranberrygap-control/src/replica.rs
@@ -31,7 +31,7 @@
 pub use settings::{SNAPSHOT_BYTES, Settings};
 pub use standing::Standing;
 
-use crate::{log, machine, transport};
+use crate::{log, state_machine, transport};
 
 /// Requests that may wait for the protocol's task. Messages beyond it are
 /// dropped, which the protocol repairs; proposals wait.
@@ -59,7 +59,7 @@
     /// snapshot that the state machine does not take.
     pub fn start(
         settings: Settings,
-        machine: Arc<dyn machine::Machine>,
+        machine: Arc<dyn state_machine::StateMachine>,
         transport: Arc<dyn transport::Transport>,
     ) -> Result<Arc<Self>, Error> {
         let disk = disk::Disk::lock(&settings.folder)?;
@@ -74,7 +74,7 @@
     pub fn start_on(
         files: Box<dyn files::Files>,
         settings: Settings,
-        machine: Arc<dyn machine::Machine>,
+        machine: Arc<dyn state_machine::StateMachine>,
         transport: Arc<dyn transport::Transport>,
     ) -> Result<Arc<Self>, Error> {
         let drawn = cranberrygap_agreement::replica::Id(random()?);
--- a/crates/cranberrygap-control/src/replica/core.rs
+++ b/crates/cranberrygap-control/src/replica/core.rs
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc as channel;
 
 use super::{Settings, formation, published, request, waiters, writer};
-use crate::{machine, transport};
+use crate::{state_machine, transport};
 
 /// Requests taken before outputs are carried out; more proposals share a sync.
 const DRAIN: usize = 512;
@@ -33,7 +33,7 @@
 /// What the task is built from.
 pub(super) struct Parts {
     pub(super) settings: Settings,
-    pub(super) machine: Arc<dyn machine::Machine>,
+    pub(super) machine: Arc<dyn state_machine::StateMachine>,
     pub(super) transport: Arc<dyn transport::Transport>,
     pub(super) clock: clock::Clock,
     pub(super) published: Arc<RwLock<published::Published>>,
--- a/crates/cranberrygap-control/src/replicated.rs
+++ b/crates/cranberrygap-control/src/replicated.rs
@@ -9,9 +9,9 @@
 use parking_lot::RwLock;
 use tokio::sync::broadcast;
 
-use crate::encoded::Encoded;
-use crate::machine;
+use crate::encoded;
 use crate::metric;
+use crate::state_machine;
 
 /// News that a slow subscriber may be behind before it gets a new snapshot.
 const NEWS_BUFFER: usize = 1_024;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone)]
 pub enum News {
     /// These changes lead to a revision.
-    Changed(number::Revision, Arc<Vec<Arc<Encoded>>>),
+    Changed(number::Revision, Arc<Vec<Arc<encoded::Change>>>),
     /// The whole state was replaced by a leader's snapshot.
     Replaced,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-impl machine::Machine for State {
+impl state_machine::StateMachine for State {
     fn apply(&self, index: number::Index, payload: &[u8]) -> Bytes {
         self.metrics
             .work(metric::Work::Apply, || self.take(index, payload))
@@ -129,7 +129,7 @@
                 if !changes.is_empty() {
                     let changes = changes
                         .into_iter()
-                        .map(|change| Arc::new(Encoded::new(change)));
+                        .map(|change| Arc::new(encoded::Change::new(change)));
                     let news = News::Changed(fleet.seen, Arc::new(changes.collect()));
                     // Sent under the lock, so that no subscriber misses it. Fails
                     // only while there is no subscriber.
--- a/crates/cranberrygap-control/src/residency.rs
+++ b/crates/cranberrygap-control/src/residency.rs
@@ -43,14 +43,14 @@
     NoAnswer(SmolStr),
     /// The answer cannot be read.
     #[error("the answer is not in the expected form: {0}")]
-    Form(SmolStr),
+    Malformed(SmolStr),
 }
 
 /// Runners as a leader reaches them; another form of their calls is another
 /// translator.
-pub trait Runners: Send + Sync + std::fmt::Debug {
+pub trait RunnerClient: Send + Sync + std::fmt::Debug {
     /// Sends an order under the leader's name and fencing token.
-    fn order<'call>(
+    fn send_order<'call>(
         &'call self,
         holder: &'call id::Instance,
         fence: number::Fence,
@@ -58,7 +58,7 @@
     ) -> BoxFuture<'call, Result<order::Verdict, Error>>;
 
     /// Asks a runner what it holds.
-    fn report<'call>(
+    fn fetch_report<'call>(
         &'call self,
         address: address::Socket,
         endpoint: &'call id::Endpoint,
@@ -67,15 +67,15 @@
 
 /// Runners that nobody can reach, for fleets without such.
 #[must_use]
-pub fn none() -> Arc<dyn Runners> {
+pub fn no_runners() -> Arc<dyn RunnerClient> {
     Arc::new(NoRunners)
 }
 
 #[derive(Debug, Clone, Copy)]
 struct NoRunners;
 
-impl Runners for NoRunners {
-    fn order<'call>(
+impl RunnerClient for NoRunners {
+    fn send_order<'call>(
         &'call self,
         _holder: &'call id::Instance,
         _fence: number::Fence,
@@ -84,7 +84,7 @@
         Box::pin(async { Err(Error::NoAnswer("no form of orders is set up".into())) })
     }
 
-    fn report<'call>(
+    fn fetch_report<'call>(
         &'call self,
         _address: address::Socket,
         _endpoint: &'call id::Endpoint,
@@ -98,7 +98,7 @@
 pub(crate) struct Residency {
     state: Arc<replicated::State>,
     proposer: proposer::Proposer,
-    runners: Arc<dyn Runners>,
+    runners: Arc<dyn RunnerClient>,
     holder: id::Instance,
     clock: clock::Clock,
     demand: Mutex<demand::Demand>,
@@ -129,7 +129,7 @@
     pub(crate) fn new(
         state: Arc<replicated::State>,
         proposer: proposer::Proposer,
-        runners: Arc<dyn Runners>,
+        runners: Arc<dyn RunnerClient>,
         holder: id::Instance,
         clock: clock::Clock,
         metrics: metric::Recorder,
@@ -344,7 +344,7 @@
         let (runners, news) = (Arc::clone(&self.runners), self.news.clone());
         let since = leadership.since;
         tokio::spawn(async move {
-            match runners.report(address, &name).await {
+            match runners.fetch_report(address, &name).await {
                 Ok(report) => {
                     drop(
                         news.send(News::Reported(since, service, name, report))
@@ -377,7 +377,7 @@
                 return;
             }
             let (name, number) = (order.endpoint.clone(), order.number);
-            let told = match runners.order(&holder, fence, &order).await {
+            let told = match runners.send_order(&holder, fence, &order).await {
                 Ok(verdict) => {
                     // An adapter whose drop is not done with its answer keeps its place.
                     let drops = matches!(order.action, order::Action::UnloadAdapter(..));
--- a/crates/cranberrygap-control/src/machine.rs
+++ b/crates/cranberrygap-control/src/state_machine.rs
@@ -4,7 +4,7 @@
 use cranberrygap_model::number;
 
 /// Applies committed payloads in order; must be deterministic.
-pub trait Machine: Send + Sync + std::fmt::Debug {
+pub trait StateMachine: Send + Sync + std::fmt::Debug {
     /// Applies the payload at `index` and gives the answer for its proposer.
     fn apply(&self, index: number::Index, payload: &[u8]) -> Bytes;
     /// The whole state as bytes.
--- a/crates/cranberrygap-control/src/subscription.rs
+++ b/crates/cranberrygap-control/src/subscription.rs
@@ -13,8 +13,8 @@
 use tokio::sync::broadcast;
 use tokio::time;
 
+use crate::delta;
 use crate::followers;
-use crate::gather;
 use crate::metric;
 use crate::peers;
 use crate::proposer;
@@ -40,7 +40,7 @@
     proposer: proposer::Proposer,
     news: broadcast::Receiver<replicated::News>,
     clock: clock::Clock,
-    gather: gather::Gather,
+    gather: delta::Buffer,
     next: Option<view::Frame>,
     revision: number::Revision,
     led: time::Instant,
@@ -60,7 +60,7 @@
 #[serde(untagged)]
 enum Sent {
     /// Changes that are written already.
-    Delta(gather::Delta),
+    Delta(delta::Delta),
     /// Anything else.
     Whole(Box<view::Frame>),
 }
@@ -101,7 +101,7 @@
         proposer: proposer.clone(),
         news,
         clock: clock::Clock::start(),
-        gather: gather::Gather::default(),
+        gather: delta::Buffer::default(),
         next: Some(snapshot),
         revision: number::Revision(0),
         led: time::Instant::now(),
@@ -144,21 +144,21 @@
         loop {
             let now = self.clock.now();
             if let Some(snapshot) = self.next.take() {
-                self.gather.clear(now);
+                self.gather.reset(now);
                 return Some(Sent::Whole(Box::new(snapshot)));
             }
-            let due = self.gather.due(self.state.followers());
+            let due = self.gather.next_due(self.state.followers());
             let until = due.map_or(beat, |due| due.min(beat)).since(now);
             let Ok(news) = time::timeout(until.to_std(), self.news.recv()).await else {
                 let heartbeat = view::Frame::Heartbeat {
                     revision: self.revision,
                 };
-                let delta = self.gather.frame(self.clock.now()).map(Sent::Delta);
+                let delta = self.gather.take_delta(self.clock.now()).map(Sent::Delta);
                 return Some(delta.unwrap_or(Sent::Whole(Box::new(heartbeat))));
             };
             match news {
                 Ok(replicated::News::Changed(revision, changes)) => {
-                    self.gather.take(revision, &changes);
+                    self.gather.push(revision, &changes);
                 }
                 Ok(replicated::News::Replaced) | Err(broadcast::error::RecvError::Lagged(_)) => {
                     let (snapshot, news) = self.state.subscribe();
--- a/crates/cranberrygap-control/tests/confirmation.rs
+++ b/crates/cranberrygap-control/tests/confirmation.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranberrygap_control::machine::Machine as _;
+use cranberrygap_control::state_machine::StateMachine as _;
 use cranberrygap_control::{confirmation, detector, leadership, log, metric, proposer, replicated};
 use cranberrygap_link::clock;
 use cranberrygap_model::{duration, number};
--- a/crates/cranberrygap-control/tests/fleet/mod.rs
+++ b/crates/cranberrygap-control/tests/fleet/mod.rs
@@ -163,10 +163,10 @@
         let process = self.running[position].as_ref().unwrap();
         match role {
             credential::Role::Fleet => {
-                client::Client::connect(process.peers(), role, &fleet_secret()).await
+                client::Client::connect(process.peers_address(), role, &fleet_secret()).await
             }
             credential::Role::Operator => {
-                client::Client::connect(process.admin(), role, &operator_secret()).await
+                client::Client::connect(process.admin_address(), role, &operator_secret()).await
             }
         }
     }
--- a/crates/cranberrygap-control/tests/leadership.rs
+++ b/crates/cranberrygap-control/tests/leadership.rs
@@ -65,7 +65,7 @@
 fn entry_that_is_current_gets_a_lease() {
     let mut leadership = new_office();
 
-    let lease = leadership.confirm(at(0), &fleet::confirm(revision(5)));
+    let lease = leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
     assert_eq!(lease, leadership::LEASE);
 }
@@ -75,10 +75,10 @@
 #[test]
 fn entry_whose_view_stands_still_gets_no_lease() {
     let mut leadership = new_office();
-    leadership.mark(at(10), revision(6));
+    leadership.record_revision(at(10), revision(6));
 
-    let within = leadership.confirm(at(100), &fleet::confirm(revision(5)));
-    let beyond = leadership.confirm(at(300), &fleet::confirm(revision(5)));
+    let within = leadership.grant_lease(at(100), &fleet::confirm(revision(5)));
+    let beyond = leadership.grant_lease(at(300), &fleet::confirm(revision(5)));
 
     assert_eq!(within, leadership::LEASE);
     assert_eq!(beyond, duration::Span(0));
@@ -88,7 +88,7 @@
 fn revision_waits_for_an_entry_until_its_lease_ran_out() {
     let mut leadership = new_office();
     let fleet = known();
-    leadership.confirm(at(0), &fleet::confirm(revision(5)));
+    leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
     let during = leadership.waiting(at(2_449), revision(6), &fleet);
     let after = leadership.waiting(at(2_450), revision(6), &fleet);
@@ -115,7 +115,7 @@
 #[test]
 fn confirmed_revision_does_not_wait() {
     let mut leadership = new_office();
-    leadership.confirm(at(0), &fleet::confirm(revision(6)));
+    leadership.grant_lease(at(0), &fleet::confirm(revision(6)));
 
     assert!(leadership.waiting(at(1), revision(6), &known()).is_empty());
 }
@@ -128,10 +128,10 @@
     let mut leadership = new_office();
     let mut fleet = known();
     fleet.seen = revision(6);
-    leadership.confirm(at(0), &fleet::confirm(revision(5)));
+    leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
-    let early = leadership.acknowledge(at(949), revision(6), &fleet);
-    let late = leadership.acknowledge(at(950), revision(6), &fleet);
+    let early = leadership.try_acknowledge(at(949), revision(6), &fleet);
+    let late = leadership.try_acknowledge(at(950), revision(6), &fleet);
 
     assert!(!early);
     assert!(late);
@@ -142,9 +142,9 @@
     let mut leadership = new_office();
     let mut fleet = known();
     fleet.seen = revision(6);
-    leadership.confirm(at(0), &fleet::confirm(revision(6)));
+    leadership.grant_lease(at(0), &fleet::confirm(revision(6)));
 
-    assert!(leadership.acknowledge(at(1), revision(6), &fleet));
+    assert!(leadership.try_acknowledge(at(1), revision(6), &fleet));
 }
 
 // The last lease of an entry is nearly out and a change is acknowledged. A heartbeat that
@@ -154,12 +154,12 @@
 fn view_before_an_acknowledged_change_gets_no_lease() {
     let mut leadership = new_office();
     let mut fleet = known();
-    leadership.confirm(at(0), &fleet::confirm(revision(5)));
+    leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
     fleet.seen = revision(6);
-    leadership.mark(at(2_000), revision(6));
+    leadership.record_revision(at(2_000), revision(6));
 
-    assert!(leadership.acknowledge(at(2_010), revision(6), &fleet));
-    let lease = leadership.confirm(at(2_020), &fleet::confirm(revision(5)));
+    assert!(leadership.try_acknowledge(at(2_010), revision(6), &fleet));
+    let lease = leadership.grant_lease(at(2_020), &fleet::confirm(revision(5)));
 
     assert_eq!(lease, duration::Span(0));
 }
@@ -171,11 +171,11 @@
     let mut leadership = new_office();
     let mut fleet = known();
     fleet.seen = revision(6);
-    leadership.mark(at(0), revision(6));
-    leadership.confirm(at(10), &fleet::confirm(revision(4)));
+    leadership.record_revision(at(0), revision(6));
+    leadership.grant_lease(at(10), &fleet::confirm(revision(4)));
 
-    assert!(!leadership.acknowledge(at(20), revision(6), &fleet));
-    assert!(leadership.acknowledge(at(950), revision(6), &fleet));
+    assert!(!leadership.try_acknowledge(at(20), revision(6), &fleet));
+    assert!(leadership.try_acknowledge(at(950), revision(6), &fleet));
 }
 
 // An endpoint's process dies without a word; its heartbeats stop.
@@ -239,7 +239,7 @@
 fn names_of_the_past_take_no_room() {
     let mut leadership = new_office();
     leadership.hear(at(0), &seen(1));
-    leadership.confirm(at(0), &fleet::confirm(revision(5)));
+    leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
     leadership.prune(at(700_000), &state::Fleet::default());
 
@@ -262,9 +262,9 @@
     let command = command::Command::Residency(told);
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
     let mut leadership = leadership::Leadership::new(number::Term(1), START, fleet.binding);
-    leadership.mark(at(0), fleet.binding);
+    leadership.record_revision(at(0), fleet.binding);
 
-    let lease = leadership.confirm(at(1_000), &fleet::confirm(revision(2)));
+    let lease = leadership.grant_lease(at(1_000), &fleet::confirm(revision(2)));
 
     assert_eq!(fleet.seen, revision(9));
     assert_eq!(lease, leadership::LEASE);
--- a/crates/cranberrygap-control/tests/leadership_former_process.rs
+++ b/crates/cranberrygap-control/tests/leadership_former_process.rs
@@ -82,8 +82,8 @@
 #[test]
 fn late_confirmation_of_a_former_process_makes_no_entry_gone() {
     let mut leadership = leadership();
-    leadership.confirm(at(60_000), &confirm(2));
-    leadership.confirm(at(60_100), &confirm(1));
+    leadership.grant_lease(at(60_000), &confirm(2));
+    leadership.grant_lease(at(60_100), &confirm(1));
 
     let found = leadership.findings(at(60_200), &known()).members;
 
@@ -95,12 +95,12 @@
 #[test]
 fn late_confirmation_of_a_former_process_is_not_its_successors() {
     let mut leadership = leadership();
-    leadership.confirm(at(60_000), &confirm(2));
+    leadership.grant_lease(at(60_000), &confirm(2));
     let late = view::Confirm {
         revision: number::Revision(6),
         ..confirm(1)
     };
-    leadership.confirm(at(60_100), &late);
+    leadership.grant_lease(at(60_100), &late);
 
     let waiting = leadership.waiting(at(60_200), number::Revision(6), &known());
 
@@ -115,8 +115,8 @@
         revision: number::Revision(6),
         ..confirm(2)
     };
-    leadership.confirm(at(60_000), &current);
-    leadership.confirm(at(60_100), &confirm(1));
+    leadership.grant_lease(at(60_000), &current);
+    leadership.grant_lease(at(60_100), &confirm(1));
 
     let waiting = leadership.waiting(at(60_200), number::Revision(6), &known());
 
--- a/crates/cranberrygap-control/tests/shares.rs
+++ b/crates/cranberrygap-control/tests/shares.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cranberrygap_control::{log, machine::Machine as _, metric, proposer, replicated, shares};
+use cranberrygap_control::{
+    log, metric, proposer, replicated, shares, state_machine::StateMachine as _,
+};
 use cranberrygap_link::clock;
 use cranberrygap_model::{duration, number, token};
 use cranberrygap_state::{command, traffic as state};
--- a/crates/cranberrygap-control/tests/support/mod.rs
+++ b/crates/cranberrygap-control/tests/support/mod.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use cranberrygap_agreement::limits;
-use cranberrygap_control::{log, log::Log, machine, replica, transport};
+use cranberrygap_control::{log, log::Log, replica, state_machine, transport};
 use cranberrygap_model::{address, id, number};
 use cranberrygap_storage::{disk, files};
 use parking_lot::Mutex;
@@ -28,7 +28,7 @@
     pub applied: AtomicUsize,
 }
 
-impl machine::Machine for Recorder {
+impl state_machine::StateMachine for Recorder {
     fn apply(&self, _index: number::Index, payload: &[u8]) -> Bytes {
         if !self.pace.is_zero() {
             std::thread::sleep(self.pace);
@@ -172,7 +172,7 @@
             own: peer.clone(),
             network: Arc::clone(&self.network),
         };
-        let machine: Arc<dyn machine::Machine> = Arc::<Recorder>::clone(&recorder);
+        let machine: Arc<dyn state_machine::StateMachine> = Arc::<Recorder>::clone(&recorder);
         let line = Arc::new(line);
         let replica = replica::Replica::start_on(files, settings, machine, line).unwrap();
         self.network.attach(&peer.instance, &replica);
--- a/crates/cranberrygap/src/daemon/control.rs
+++ b/crates/cranberrygap/src/daemon/control.rs
@@ -48,14 +48,14 @@
 /// A form in which operators and endpoints speak beside the product's own.
 pub trait Form: std::fmt::Debug {
     /// How runners take orders.
-    fn runners(&self) -> Arc<dyn residency::Runners>;
+    fn runners(&self) -> Arc<dyn residency::RunnerClient>;
 
     /// Opens the listeners of this form; they serve until the process ends.
     ///
     /// # Errors
     ///
     /// An address that cannot be listened on.
-    fn listen(&self, settings: &settings::Control, public: public::Public) -> eyre::Result<()>;
+    fn listen(&self, settings: &settings::Control, public: public::Api) -> eyre::Result<()>;
 }
 
 /// Runs a control process until a signal stops it.
@@ -71,12 +71,12 @@
     let mut signals = signal::Listener::new()?;
     let prefix = format!("cranberrygap.control.{}", settings.control.instance);
     let sent = metrics::client(&settings.metrics.clone().unwrap_or_default(), &prefix)?;
-    let runners = form.map_or_else(residency::none, Form::runners);
+    let runners = form.map_or_else(residency::no_runners, Form::runners);
     let recorder = metric::Recorder::new(Arc::clone(&sent));
     let starting = process::Process::start_with(settings.clone(), held.clone(), runners, recorder);
     let control = starting.await?;
     if let Some(form) = form {
-        form.listen(&settings, control.public())?;
+        form.listen(&settings, control.public_api())?;
     }
     loop {
         let wish = tokio::time::timeout(LOOK, signals.next()).await;
--- a/crates/cranberrygap/src/local.rs
+++ b/crates/cranberrygap/src/local.rs
@@ -157,7 +157,7 @@
     /// Where operators of this instance connect; no token is needed.
     #[must_use]
     pub fn admin(&self) -> address::Socket {
-        self.control.admin()
+        self.control.admin_address()
     }
 
     /// Secret of the callers' key.
