--- a/crates/cranberrygap-bench/src/measure/leader.rs
+++ b/crates/cranberrygap-bench/src/measure/leader.rs
@@ -8,8 +8,8 @@
 use clap::Parser;
 use cranberrygap_control::{encoded, gather, leadership};
 use cranberrygap_model::{duration, id, number, token};
+use cranberrygap_policy::leader_calls;
 use cranberrygap_policy::limits::{self, granter};
-use cranberrygap_policy::pace;
 use cranberrygap_wire::{share, view};
 use serde_json::{Value, json};
 
@@ -60,11 +60,11 @@
     let renewal = renewal_micros(entries, arguments);
     let lease = lease_micros(entries, arguments.rounds);
     let frame = frame_micros(arguments.rounds);
-    let gap = pace::gap(entries);
-    let renewals = calls(entries, limits::PERIOD.max(gap));
+    let gap = leader_calls::min_interval(entries);
+    let renewals = calls(entries, limits::RENEWAL_INTERVAL.max(gap));
     let wanted = 1.0 / HEARTBEAT.as_secs_f64() + CHANGES;
     let confirmations = entries as f64 * wanted.min(1.0 / gap.as_secs_f64());
-    let frames = 1.0 / pace::gap(1).as_secs_f64();
+    let frames = 1.0 / leader_calls::min_interval(1).as_secs_f64();
     json!({
         "entries": entries,
         "renewal_micros": renewal,
@@ -119,7 +119,7 @@
         .map(|number| (workspace(number), limit))
         .collect();
     let mut granter = granter::Granter::new(at(0), number::Term(1), &limits, &[]);
-    let turn = limits::PERIOD.0 / 1_000;
+    let turn = limits::RENEWAL_INTERVAL.0 / 1_000;
     let mut shares: BTreeMap<(usize, id::Workspace), u64> = BTreeMap::new();
     let mut renew = |round: u64| {
         let entry = usize::try_from(round).unwrap_or_default() % entries;
--- a/crates/cranberrygap-bench/src/measure/limits/shares.rs
+++ b/crates/cranberrygap-bench/src/measure/limits/shares.rs
@@ -76,8 +76,8 @@
         let Ok(answer) = granter.renew(now, renew) else {
             return;
         };
-        let commits = !answer.records.is_empty();
-        for record in answer.records {
+        let commits = !answer.allocations.is_empty();
+        for record in answer.allocations {
             self.records += 1;
             self.log.insert(record.instance.clone(), record);
         }
@@ -112,7 +112,7 @@
             match message {
                 Message::Renewal(entry, renew) => self.answer(at, entry, &renew),
                 Message::Answer(entry, granted) => {
-                    self.holders[entry].granted(now, &granted);
+                    self.holders[entry].apply_grants(now, &granted);
                     self.poll(now, entry);
                 }
             }
@@ -126,13 +126,13 @@
     }
 
     fn arrive(&mut self, now: duration::Instant, entry: usize, request: u64, cost: token::Count) {
-        let patience = holder::Patience::of(PATIENCE);
+        let patience = holder::MaxWait::uniform(PATIENCE);
         match self.holders[entry].admit(now, &self.workspace, cost, patience) {
-            holder::Verdict::Admitted(reservation) => {
+            holder::Admission::Admitted(reservation) => {
                 self.running.insert(request, (entry, reservation));
                 self.decisions.push((request, Decision::Admitted));
             }
-            holder::Verdict::Waiting(ticket) => {
+            holder::Admission::Queued(ticket) => {
                 self.waiting[entry].insert(ticket, request);
             }
         }
@@ -140,7 +140,7 @@
 
     fn end(&mut self, now: duration::Instant, request: u64, used: token::Count) {
         if let Some((entry, reservation)) = self.running.remove(&request) {
-            self.holders[entry].settle(now, &reservation, used);
+            self.holders[entry].close_reservation(now, &reservation, used);
         }
     }
 
@@ -157,19 +157,30 @@
 
     fn next(&self) -> Option<duration::Instant> {
         let message = self.network.keys().next().map(|(at, _)| *at);
-        let due = self.holders.iter().map(holder::Holder::due).min();
-        let wake = self.holders.iter().filter_map(holder::Holder::wake).min();
+        let due = self
+            .holders
+            .iter()
+            .map(holder::Holder::next_renewal_at)
+            .min();
+        let wake = self
+            .holders
+            .iter()
+            .filter_map(holder::Holder::next_decision_at)
+            .min();
         [message, due, wake].into_iter().flatten().min()
     }
 
     fn advance(&mut self, now: duration::Instant) {
         self.deliver(now);
         for entry in 0..self.holders.len() {
-            if self.holders[entry].wake().is_some_and(|wake| wake <= now) {
+            if self.holders[entry]
+                .next_decision_at()
+                .is_some_and(|wake| wake <= now)
+            {
                 self.poll(now, entry);
             }
-            if self.holders[entry].due() <= now {
-                let renew = self.holders[entry].renew(now);
+            if self.holders[entry].next_renewal_at() <= now {
+                let renew = self.holders[entry].begin_renewal(now);
                 self.send(now.after(ONE_WAY), Message::Renewal(entry, renew));
             }
         }
--- a/crates/cranberrygap-bench/src/soak/demand/appointments.rs
+++ b/crates/cranberrygap-bench/src/soak/demand/appointments.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_policy::limits::{self, appointment, granter};
+use cranberrygap_policy::limits::{self, assignment, granter};
 use cranberrygap_wire::view;
 
 use super::day::Day;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(super) struct Appointments {
     workspaces: Vec<id::Workspace>,
-    candidates: appointment::Candidates,
+    candidates: assignment::Candidates,
     lenders: Lenders,
     /// Since when each lender was chosen.
     since: BTreeMap<id::Workspace, duration::Instant>,
@@ -42,7 +42,7 @@
         granter: &granter::Granter,
     ) -> Vec<view::Lender> {
         let is_lost = |workspace: &id::Workspace| self.is_lost(now, granter, workspace);
-        appointment::changes(&self.workspaces, &self.lenders, &self.candidates, is_lost)
+        assignment::changes(&self.workspaces, &self.lenders, &self.candidates, is_lost)
     }
 
     /// Notes changes; gives who lends from then on.
@@ -74,6 +74,6 @@
             return false;
         };
         let since = self.since.get(workspace).copied().unwrap_or_default();
-        now.since(since) > limits::LEASE && !granter.lends(workspace, lender)
+        now.since(since) > limits::LEASE_DURATION && !granter.is_lender(workspace, lender)
     }
 }
--- a/crates/cranberrygap-bench/src/soak/demand/entry.rs
+++ b/crates/cranberrygap-bench/src/soak/demand/entry.rs
@@ -49,7 +49,7 @@
 impl Entry {
     pub fn new(number: usize, entries: usize, boot: number::Boot) -> Self {
         let mut holder = holder::Holder::new(name(number), boot);
-        holder.set_entries(entries);
+        holder.set_entry_count(entries);
         Self {
             holder,
             waiting: BTreeMap::new(),
--- a/crates/cranberrygap-bench/src/soak/demand/leader.rs
+++ b/crates/cranberrygap-bench/src/soak/demand/leader.rs
@@ -98,7 +98,7 @@
         let mut records = Vec::new();
         let mut done = wire.now();
         for waiting in self.inbox.drain(..together) {
-            if wire.now() > waiting.at + holder::PATIENCE.0 {
+            if wire.now() > waiting.at + holder::ANSWER_TIMEOUT.0 {
                 self.counts.given_up += 1;
                 continue;
             }
@@ -107,7 +107,7 @@
             let Ok(answer) = self.granter.renew(wire.clock(), &waiting.renew) else {
                 continue;
             };
-            records.extend(answer.records);
+            records.extend(answer.allocations);
             let answer = if waiting.renew.lends {
                 Message::Handed(answer.granted)
             } else {
@@ -146,7 +146,8 @@
 
     /// A process of an entry has ended.
     pub(super) fn ended(&mut self, wire: &Wire, instance: &id::Instance, boot: number::Boot) {
-        self.granter.ended(wire.clock(), instance, boot);
+        self.granter
+            .record_process_end(wire.clock(), instance, boot);
     }
 
     pub(super) const fn is_gone(&self) -> bool {
@@ -162,7 +163,7 @@
     pub(super) fn follow(&mut self, lenders: &Lenders) {
         for workspace in self.limits.keys() {
             let lender = lenders.get(workspace);
-            self.granter.set_delegate(workspace, lender);
+            self.granter.set_lender(workspace, lender);
         }
     }
 
--- a/crates/cranberrygap-bench/src/soak/demand/lending.rs
+++ b/crates/cranberrygap-bench/src/soak/demand/lending.rs
@@ -44,7 +44,7 @@
 struct Entry {
     instance: id::Instance,
     boot: number::Boot,
-    lending: lending::Lending,
+    lending: lending::Lender,
     awaited: Option<number::Sequence>,
     /// When it looks next whether the leader is to be asked.
     looks_at: u64,
@@ -63,8 +63,8 @@
 impl Entry {
     fn new(number: usize, entries: usize, boot: number::Boot) -> Self {
         let instance = entry::name(number);
-        let mut lending = lending::Lending::new(instance.clone(), boot);
-        lending.set_entries(entries);
+        let mut lending = lending::Lender::new(instance.clone(), boot);
+        lending.set_entry_count(entries);
         Self {
             instance,
             boot,
@@ -136,14 +136,14 @@
         let entry = &mut self.entries[number];
         let own = lenders.iter().filter(|(_, one)| **one == entry.instance);
         let own: Vec<id::Workspace> = own.map(|(workspace, _)| workspace.clone()).collect();
-        entry.lending.follow(wire.clock(), &own);
+        entry.lending.set_workspaces(wire.clock(), &own);
         self.rest(wire, number);
     }
 
     /// Lets an entry look when the leader is to be asked next for what it lends.
     fn rest(&mut self, wire: &mut Wire, number: usize) {
         let entry = &mut self.entries[number];
-        let due = entry.lending.due().0.saturating_sub(1);
+        let due = entry.lending.next_renewal_at().0.saturating_sub(1);
         let next = due.max(wire.now() + 1);
         if due < u64::MAX - 1 && (next < entry.looks_at || entry.looks_at <= wire.now()) {
             entry.looks_at = next;
@@ -154,13 +154,13 @@
     /// Renews what an entry lends when that is due.
     fn renew(&mut self, wire: &mut Wire, number: usize) {
         let entry = &mut self.entries[number];
-        if entry.lending.due() <= wire.clock()
+        if entry.lending.next_renewal_at() <= wire.clock()
             && let Some(sequence) = entry.awaited.take()
         {
-            entry.lending.failed(sequence);
+            entry.lending.fail_renewal(sequence);
         }
-        if entry.lending.due() <= wire.clock() {
-            let renew = entry.lending.renew(wire.clock());
+        if entry.lending.next_renewal_at() <= wire.clock() {
+            let renew = entry.lending.begin_renewal(wire.clock());
             entry.awaited = Some(renew.sequence);
             self.counts.renewals += 1;
             self.leader.ask(wire, number, renew);
@@ -184,7 +184,7 @@
     /// Takes what the leader handed to an entry to lend.
     fn handed(&mut self, wire: &mut Wire, number: usize, granted: &share::Granted) {
         let entry = &mut self.entries[number];
-        if entry.lending.granted(wire.clock(), granted) {
+        if entry.lending.apply_grants(wire.clock(), granted) {
             entry.awaited = None;
         }
         self.rest(wire, number);
--- a/crates/cranberrygap-bench/src/soak/demand/world.rs
+++ b/crates/cranberrygap-bench/src/soak/demand/world.rs
@@ -32,8 +32,8 @@
 const NEVER: u64 = u64::MAX;
 
 /// How long requests wait for tokens, as entries let streams with an objective of 800 ms.
-const PATIENCE: holder::Patience = holder::Patience {
-    in_line: duration::Span::from_millis(200),
+const PATIENCE: holder::MaxWait = holder::MaxWait {
+    in_queue: duration::Span::from_millis(200),
     for_leader: duration::Span::from_millis(1_600),
 };
 
@@ -287,8 +287,8 @@
         let name = &self.workspaces[workspace].name;
         let held = &mut self.entries[entry];
         match held.holder.admit(clock, name, token::Count(cost), PATIENCE) {
-            holder::Verdict::Admitted(reservation) => self.admitted(entry, waiting, reservation),
-            holder::Verdict::Waiting(ticket) => {
+            holder::Admission::Admitted(reservation) => self.admitted(entry, waiting, reservation),
+            holder::Admission::Queued(ticket) => {
                 held.waiting.insert(ticket, waiting);
             }
         }
@@ -304,8 +304,12 @@
             self.decide(entry);
         }
         let held = &mut self.entries[entry];
-        let due = held.holder.due();
-        let earlier = held.holder.wake().into_iter().chain(held.holder.asks_at());
+        let due = held.holder.next_renewal_at();
+        let earlier = held
+            .holder
+            .next_decision_at()
+            .into_iter()
+            .chain(held.holder.next_loan_request_at());
         let next = earlier.fold(due, std::cmp::Ord::min);
         let next = next.0.saturating_sub(1).max(now + 1);
         if next < held.looks_at || held.looks_at <= now {
@@ -332,17 +336,17 @@
     fn renew(&mut self, entry: usize) {
         let (now, clock) = (self.wire.now(), self.wire.clock());
         let held = &mut self.entries[entry];
-        if held.holder.due() > clock {
+        if held.holder.next_renewal_at() > clock {
             return;
         }
         if let Some((sequence, _)) = held.awaited.take() {
             self.tally.unanswered += 1;
-            held.holder.failed(sequence);
-            if held.holder.due() > clock {
+            held.holder.fail_renewal(sequence);
+            if held.holder.next_renewal_at() > clock {
                 return;
             }
         }
-        let renew = held.holder.renew(clock);
+        let renew = held.holder.begin_renewal(clock);
         held.awaited = Some((renew.sequence, now));
         self.tally.renewals += 1;
         self.way.ask(&mut self.wire, entry, renew);
@@ -352,11 +356,11 @@
     fn borrow(&mut self, entry: usize) -> bool {
         let clock = self.wire.clock();
         let mut lent = false;
-        for (lender, question) in self.entries[entry].holder.ask(clock) {
+        for (lender, question) in self.entries[entry].holder.due_loan_requests(clock) {
             let answer = self.way.borrow(&mut self.wire, entry, &lender, question);
             let Some(answer) = answer else { continue };
             let holder = &mut self.entries[entry].holder;
-            lent |= holder.lent(clock, &lender, &answer);
+            lent |= holder.apply_loans(clock, &lender, &answer);
         }
         lent
     }
@@ -366,7 +370,7 @@
         let holder = &mut self.entries[entry].holder;
         match answer {
             Answer::Granted(granted) => return self.granted(entry, &granted),
-            Answer::Lent(lender, answer) => drop(holder.lent(clock, &lender, &answer)),
+            Answer::Lent(lender, answer) => drop(holder.apply_loans(clock, &lender, &answer)),
             Answer::Lenders(lenders) => holder.set_lenders(clock, &lenders),
         }
         self.look(entry);
@@ -375,7 +379,7 @@
     fn granted(&mut self, entry: usize, granted: &cranberrygap_wire::share::Granted) {
         let (now, clock) = (self.wire.now(), self.wire.clock());
         let held = &mut self.entries[entry];
-        if held.holder.granted(clock, granted)
+        if held.holder.apply_grants(clock, granted)
             && let Some((_, asked)) = held.awaited.take()
         {
             self.tally.answered(now - asked);
@@ -433,7 +437,7 @@
             return;
         };
         held.holder
-            .settle(clock, &running.reservation, running.used);
+            .close_reservation(clock, &running.reservation, running.used);
         let window = &mut self.workspaces[running.workspace].window;
         window.settle(running.admission, running.used);
         self.look(entry);
--- a/crates/cranberrygap-bench/src/soak/limits/entry.rs
+++ b/crates/cranberrygap-bench/src/soak/limits/entry.rs
@@ -10,7 +10,7 @@
 pub(super) struct Entry {
     pub(super) boot: number::Boot,
     pub(super) holder: holder::Holder,
-    pub(super) lending: lending::Lending,
+    pub(super) lending: lending::Lender,
     pub(super) cut_until: duration::Instant,
     pub(super) running: Vec<Running>,
     /// Costs of the requests that wait for tokens, by ticket.
@@ -35,7 +35,7 @@
         let name = name(number);
         let boot = number::Boot(random.random());
         Self {
-            lending: lending::Lending::new(name.clone(), boot),
+            lending: lending::Lender::new(name.clone(), boot),
             holder: holder::Holder::new(name, boot),
             boot,
             cut_until: duration::Instant::default(),
--- a/crates/cranberrygap-bench/src/soak/limits/trouble.rs
+++ b/crates/cranberrygap-bench/src/soak/limits/trouble.rs
@@ -93,7 +93,7 @@
         if self.random.random_bool(0.7)
             && let Some(granter) = self.granter.as_mut()
         {
-            granter.ended(self.now, &entry::name(number), ended);
+            granter.record_process_end(self.now, &entry::name(number), ended);
         }
     }
 
@@ -121,7 +121,7 @@
         let entry = &mut self.entries[number];
         entry.holder.close(now);
         entry.lending.close(now);
-        let renew = entry.holder.renew(now);
+        let renew = entry.holder.begin_renewal(now);
         self.renew_lending(number);
         self.send(number, world::Message::Renewal(number, renew));
         self.replace(number);
@@ -135,7 +135,7 @@
         };
         self.counts.configured += 1;
         // A holder may go on with its old share until its lease ends.
-        let enforced = self.now.after(limits::LEASE);
+        let enforced = self.now.after(limits::LEASE_DURATION);
         self.window.configure(self.now, self.limit, enforced);
         if let Some(granter) = self.granter.as_mut() {
             granter.configure(
--- a/crates/cranberrygap-bench/src/soak/limits/world.rs
+++ b/crates/cranberrygap-bench/src/soak/limits/world.rs
@@ -206,7 +206,7 @@
     pub(super) fn tell_granter(&mut self) {
         let lender = self.lender.map(entry::name);
         if let Some(granter) = self.granter.as_mut() {
-            granter.set_delegate(&self.workspace, lender.as_ref());
+            granter.set_lender(&self.workspace, lender.as_ref());
         }
     }
 
@@ -237,10 +237,10 @@
             self.counts.late += 1;
             return;
         };
-        let fails = !answer.records.is_empty() && self.random.random_ratio(1, 30);
+        let fails = !answer.allocations.is_empty() && self.random.random_ratio(1, 30);
         let written = !fails || self.random.random_bool(0.5);
         if written {
-            self.commit(answer.records);
+            self.commit(answer.allocations);
         }
         if fails {
             // Whether the log has the records is not known to the leader, which begins
@@ -291,7 +291,7 @@
         if entry.boot != boot {
             return;
         }
-        if entry.holder.lent(now, &entry::name(from), lent) {
+        if entry.holder.apply_loans(now, &entry::name(from), lent) {
             let tokens = lent.grants.iter().map(|grant| grant.lent.0).sum::<u64>();
             self.counts.borrowed += tokens;
         }
@@ -307,7 +307,7 @@
             .collect();
         let entry = &mut self.entries[number];
         entry.holder.set_lenders(self.now, &chosen);
-        entry.lending.follow(self.now, &own);
+        entry.lending.set_workspaces(self.now, &own);
     }
 
     /// Sends a datagram between two entries.
@@ -361,9 +361,9 @@
             granted.lease = duration::Span::from_secs(3_600);
         }
         if lends {
-            entry.lending.granted(now, &granted);
+            entry.lending.apply_grants(now, &granted);
         } else {
-            entry.holder.granted(now, &granted);
+            entry.holder.apply_grants(now, &granted);
         }
     }
 
@@ -381,15 +381,15 @@
 
     fn renew(&mut self) {
         for number in 0..ENTRIES {
-            if self.entries[number].holder.due() > self.now {
+            if self.entries[number].holder.next_renewal_at() > self.now {
                 continue;
             }
             self.counts.renewals += 1;
-            let renew = self.entries[number].holder.renew(self.now);
+            let renew = self.entries[number].holder.begin_renewal(self.now);
             self.send(number, Message::Renewal(number, renew));
         }
         for number in 0..ENTRIES {
-            if self.entries[number].lending.due() <= self.now {
+            if self.entries[number].lending.next_renewal_at() <= self.now {
                 self.renew_lending(number);
             }
             self.ask(number);
@@ -397,13 +397,13 @@
     }
 
     pub(super) fn renew_lending(&mut self, number: usize) {
-        let renew = self.entries[number].lending.renew(self.now);
+        let renew = self.entries[number].lending.begin_renewal(self.now);
         self.counts.renewals += 1;
         self.send(number, Message::Renewal(number, renew));
     }
 
     fn ask(&mut self, number: usize) {
-        for (lender, question) in self.entries[number].holder.ask(self.now) {
+        for (lender, question) in self.entries[number].holder.due_loan_requests(self.now) {
             let lender = (0..ENTRIES).find(|entry| entry::name(*entry) == lender);
             if let Some(lender) = lender {
                 self.counts.asked += 1;
@@ -420,7 +420,9 @@
                 .partition(|request| request.ends <= now);
             entry.running = running;
             for request in done {
-                entry.holder.settle(now, &request.reservation, request.used);
+                entry
+                    .holder
+                    .close_reservation(now, &request.reservation, request.used);
                 self.window.settle(request.admission, request.used);
             }
         }
@@ -477,14 +479,14 @@
     }
 
     fn request(&mut self, number: usize, cost: token::Count) -> Result<(), String> {
-        let patience = holder::Patience::of(PATIENCE);
+        let patience = holder::MaxWait::uniform(PATIENCE);
         let entry = &mut self.entries[number];
         match entry
             .holder
             .admit(self.now, &self.workspace, cost, patience)
         {
-            holder::Verdict::Admitted(reservation) => self.admitted(number, cost, reservation),
-            holder::Verdict::Waiting(ticket) => {
+            holder::Admission::Admitted(reservation) => self.admitted(number, cost, reservation),
+            holder::Admission::Queued(ticket) => {
                 entry.waiting.insert(ticket, cost);
                 Ok(())
             }
--- a/crates/cranberrygap-bench/src/soak/quarantine/world.rs
+++ b/crates/cranberrygap-bench/src/soak/quarantine/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use cranberrygap_model::{duration, number};
-use cranberrygap_policy::quarantine::{probe, watch};
+use cranberrygap_policy::quarantine::{permission, suspects};
 use cranberrygap_state::quarantine;
 use cranberrygap_wire::{claim, view};
 use rand::rngs::SmallRng;
@@ -71,7 +71,7 @@
     /// The endpoint dies.
     Die(usize, u64),
     /// An entry sees that an endpoint died.
-    Notice(usize, watch::Place),
+    Notice(usize, suspects::Incarnation),
     /// The leader gets a report.
     Report(claim::Crash),
     /// An entry learns of a verdict.
@@ -82,12 +82,12 @@
     random: SmallRng,
     fault: Fault,
     now: u64,
-    watches: Vec<watch::Watch>,
+    watches: Vec<suspects::Tracker>,
     refused: Vec<BTreeSet<SmolStr>>,
     boots: [u64; ENDPOINTS],
     running: Vec<Vec<Request>>,
     verdicts: quarantine::Quarantines,
-    leaves: probe::Table,
+    leaves: permission::Table,
     condemned: BTreeMap<SmolStr, u64>,
     culprit: Option<(u64, u64)>,
     next_culprit: u64,
@@ -124,12 +124,12 @@
             random: SmallRng::seed_from_u64(seed),
             fault,
             now: 1_000,
-            watches: (0..ENTRIES).map(|_| watch::Watch::default()).collect(),
+            watches: (0..ENTRIES).map(|_| suspects::Tracker::default()).collect(),
             refused: vec![BTreeSet::new(); ENTRIES],
             boots: [1; ENDPOINTS],
             running: vec![Vec::new(); ENDPOINTS],
             verdicts: quarantine::Quarantines::default(),
-            leaves: probe::Table::new(duration::Instant(0)),
+            leaves: permission::Table::new(duration::Instant(0)),
             condemned: BTreeMap::new(),
             culprit: None,
             next_culprit: BETWEEN,
@@ -226,7 +226,7 @@
         let endpoint = self.random.random_range(0..ENDPOINTS);
         let place = place(endpoint, self.boots[endpoint]);
         let now = self.instant();
-        let started = self.watches[entry].start(now, &place, &request.fingerprint);
+        let started = self.watches[entry].start_request(now, &place, &request.fingerprint);
         let Ok(number) = started else {
             self.counts.denied += 1;
             self.after(50, 60, Event::Send(request));
@@ -243,7 +243,7 @@
         }
         let is_suspect = self.watches[entry].is_suspect(now, &request.fingerprint);
         if is_suspect && !self.ask_leave(entry, &place, &request.fingerprint) {
-            self.watches[entry].ended(&place, number, false);
+            self.watches[entry].finish_request(&place, number, false);
             self.counts.denied += 1;
             self.after(50, 60, Event::Send(request));
             return Ok(());
@@ -259,13 +259,18 @@
     }
 
     /// Asks the leader for leave; the time that it takes is left out.
-    fn ask_leave(&mut self, entry: usize, place: &watch::Place, fingerprint: &SmolStr) -> bool {
+    fn ask_leave(
+        &mut self,
+        entry: usize,
+        place: &suspects::Incarnation,
+        fingerprint: &SmolStr,
+    ) -> bool {
         let now = self.instant();
         let leave = leave(entry, fingerprint);
-        let granted = self.leaves.ask(now, &place.endpoint, &leave);
+        let granted = self.leaves.try_grant(now, &place.endpoint, &leave);
         if granted {
-            let until = now.after(probe::LEASE);
-            self.watches[entry].lease(place, fingerprint, until);
+            let until = now.after(permission::LEASE_DURATION);
+            self.watches[entry].hold_permission(place, fingerprint, until);
         }
         granted
     }
@@ -281,10 +286,10 @@
             self.running[endpoint].remove(at);
         }
         let place = place(endpoint, boot);
-        self.watches[request.entry].release(&place, &request.fingerprint);
+        self.watches[request.entry].release_permission(&place, &request.fingerprint);
         let held = leave(request.entry, &request.fingerprint);
-        self.leaves.end(&place.endpoint, &held);
-        if self.watches[request.entry].ended(&place, number, true) {
+        self.leaves.release(&place.endpoint, &held);
+        if self.watches[request.entry].finish_request(&place, number, true) {
             self.counts.cleared += 1;
             let cleared = crash(
                 request.entry,
@@ -341,12 +346,12 @@
         }
     }
 
-    fn notice(&mut self, entry: usize, place: &watch::Place) {
+    fn notice(&mut self, entry: usize, place: &suspects::Incarnation) {
         let now = self.instant();
-        if let Some(found) = self.watches[entry].died(now, place) {
-            let mut report = crash(entry, &found.place, found.fingerprints, Vec::new());
+        if let Some(found) = self.watches[entry].record_death(now, place) {
+            let mut report = crash(entry, &found.incarnation, found.fingerprints, Vec::new());
             if let Some(probed) = &found.probed {
-                self.leaves.end(&place.endpoint, &leave(entry, probed));
+                self.leaves.release(&place.endpoint, &leave(entry, probed));
             }
             report.probed = found.probed;
             self.after(1, 8, Event::Report(report));
@@ -416,8 +421,8 @@
     }
 }
 
-fn place(endpoint: usize, boot: u64) -> watch::Place {
-    watch::Place {
+fn place(endpoint: usize, boot: u64) -> suspects::Incarnation {
+    suspects::Incarnation {
         endpoint: format!("runner-{endpoint}").parse().expect("a valid name"),
         boot: number::Boot(boot),
     }
@@ -425,7 +430,7 @@
 
 fn crash(
     entry: usize,
-    place: &watch::Place,
+    place: &suspects::Incarnation,
     fingerprints: Vec<SmolStr>,
     cleared: Vec<SmolStr>,
 ) -> claim::Crash {
@@ -439,8 +444,8 @@
     }
 }
 
-fn leave(entry: usize, fingerprint: &SmolStr) -> probe::Leave {
-    probe::Leave {
+fn leave(entry: usize, fingerprint: &SmolStr) -> permission::Permission {
+    permission::Permission {
         fingerprint: fingerprint.clone(),
         instance: format!("entry-{entry}").parse().expect("a valid name"),
         boot: number::Boot(1),
--- a/crates/cranberrygap-bench/src/soak/view/budget.rs
+++ b/crates/cranberrygap-bench/src/soak/view/budget.rs
@@ -1,6 +1,6 @@
 //! What a control process's work costs, and the processor that it has for it.
 
-use cranberrygap_policy::{limits, pace};
+use cranberrygap_policy::{leader_calls, limits};
 use cranberrygap_wire::view;
 
 use super::packet::Packet;
@@ -58,6 +58,6 @@
 
 /// Processor time of the leader for the renewals of so many entries within `span` microseconds.
 pub fn renewing(entries: usize, span: u64) -> u64 {
-    let period = limits::PERIOD.max(pace::gap(entries));
+    let period = limits::RENEWAL_INTERVAL.max(leader_calls::min_interval(entries));
     entries as u64 * RENEWAL * span / period.0
 }
--- a/crates/cranberrygap-bench/src/soak/view/entry.rs
+++ b/crates/cranberrygap-bench/src/soak/view/entry.rs
@@ -3,7 +3,7 @@
 use cranberrygap_entry::view as held;
 use cranberrygap_entry::view::source;
 use cranberrygap_model::{duration, number};
-use cranberrygap_policy::pace;
+use cranberrygap_policy::leader_calls;
 use cranberrygap_wire::view;
 
 use super::flaw::Flaw;
@@ -254,7 +254,7 @@
         let view = self.holder.latest();
         self.gap = match self.flaw {
             Flaw::EachRevisionBinds => 0,
-            _ => pace::gap(view.map_or(0, |view| view.entries())).0,
+            _ => leader_calls::min_interval(view.map_or(0, |view| view.entries())).0,
         };
     }
 
--- a/crates/cranberrygap-control/src/gather.rs
+++ b/crates/cranberrygap-control/src/gather.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{duration, id, number};
-use cranberrygap_policy::pace;
+use cranberrygap_policy::leader_calls;
 use cranberrygap_wire::view;
 use serde::ser::SerializeStruct as _;
 use serde::{Serialize, Serializer};
@@ -63,7 +63,9 @@
         if self.changes.is_empty() {
             return None;
         }
-        let sent = self.sent.map(|sent| sent.after(pace::gap(followers)));
+        let sent = self
+            .sent
+            .map(|sent| sent.after(leader_calls::min_interval(followers)));
         Some(sent.unwrap_or_default())
     }
 
--- a/crates/cranberrygap-control/src/permission.rs
+++ b/crates/cranberrygap-control/src/permission.rs
@@ -3,7 +3,7 @@
 use cranberrygap_link::clock;
 use cranberrygap_link::server;
 use cranberrygap_model::number;
-use cranberrygap_policy::quarantine::probe;
+use cranberrygap_policy::quarantine::permission;
 use cranberrygap_wire::claim;
 use parking_lot::Mutex;
 
@@ -14,7 +14,7 @@
 pub(crate) struct Permissions {
     proposer: proposer::Proposer,
     clock: clock::Clock,
-    held: Mutex<Option<(number::Term, probe::Table)>>,
+    held: Mutex<Option<(number::Term, permission::Table)>>,
 }
 
 impl Permissions {
@@ -33,19 +33,19 @@
         let mut held = self.held.lock();
         let table = match held.take() {
             Some((known, table)) if known == term => table,
-            _ => probe::Table::new(now),
+            _ => permission::Table::new(now),
         };
         let (_, table) = held.insert((term, table));
-        let leave = probe::Leave {
+        let leave = permission::Permission {
             fingerprint: asked.fingerprint.clone(),
             instance: asked.instance.clone(),
             boot: asked.boot,
             until: now,
         };
         if asked.ends {
-            table.end(&asked.endpoint, &leave);
+            table.release(&asked.endpoint, &leave);
             return Ok(false);
         }
-        Ok(table.ask(now, &asked.endpoint, &leave))
+        Ok(table.try_grant(now, &asked.endpoint, &leave))
     }
 }
--- a/crates/cranberrygap-control/src/shares.rs
+++ b/crates/cranberrygap-control/src/shares.rs
@@ -139,7 +139,7 @@
                     }
                     Asked::Renewal(renewal) => match self.grant(&mut term, &renewal) {
                         Ok(answer) => {
-                            records.extend(answer.records);
+                            records.extend(answer.allocations);
                             granted.push((renewal.answer, answer.granted));
                         }
                         Err(fault) => drop(renewal.answer.send(Err(fault))),
@@ -169,9 +169,9 @@
     ) -> Result<granter::Answer, server::Fault> {
         // Its sender has given it up or is gone, and tokens granted to it would be lost.
         let patience = if renewal.renew.lends {
-            lending::PATIENCE
+            lending::ANSWER_TIMEOUT
         } else {
-            holder::PATIENCE
+            holder::ANSWER_TIMEOUT
         };
         let given_up = renewal.at.elapsed() > patience.to_std();
         if given_up || renewal.answer.is_closed() {
--- a/crates/cranberrygap-control/src/shares/term.rs
+++ b/crates/cranberrygap-control/src/shares/term.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id, number, token};
-use cranberrygap_policy::limits::{self, appointment, granter};
+use cranberrygap_policy::limits::{self, assignment, granter};
 use cranberrygap_state::fleet;
 use cranberrygap_wire::{configuration, share, view};
 
@@ -84,12 +84,12 @@
         for (workspace, lender) in fleet.lenders.iter() {
             if !self.limits.contains_key(workspace) {
                 self.lenders.insert(workspace.clone(), lender.clone());
-                self.granter.set_delegate(workspace, None);
+                self.granter.set_lender(workspace, None);
             }
         }
         for workspace in self.limits.keys() {
             let lender = fleet.lenders.get(workspace);
-            self.granter.set_delegate(workspace, lender);
+            self.granter.set_lender(workspace, lender);
             if self.lenders.get(workspace) == lender {
                 continue;
             }
@@ -111,7 +111,7 @@
     ) -> (Vec<share::Allocation>, Vec<view::Lender>) {
         for (instance, boot) in self.granter.holders() {
             if fleet.members.has_ended(&instance, boot) {
-                self.granter.ended(now, &instance, boot);
+                self.granter.record_process_end(now, &instance, boot);
             }
         }
         let records = self.granter.expire(now);
@@ -121,7 +121,7 @@
         let workspaces = self.limits.iter();
         let workspaces = workspaces.filter(|(_, limit)| limited(limit));
         let workspaces = workspaces.map(|(workspace, _)| workspace);
-        let changes = appointment::changes(workspaces, &self.lenders, &candidates, is_lost);
+        let changes = assignment::changes(workspaces, &self.lenders, &candidates, is_lost);
         (records, changes)
     }
 
@@ -133,8 +133,8 @@
         };
         let since = self.since.get(workspace).copied().unwrap_or_default();
         let held = now.since(since);
-        let idle = held > limits::LEASE && !self.granter.lends(workspace, lender);
-        idle || (held > ANSWERS && self.granter.is_delegate_avoided(workspace))
+        let idle = held > limits::LEASE_DURATION && !self.granter.is_lender(workspace, lender);
+        idle || (held > ANSWERS && self.granter.is_lender_unreachable(workspace))
     }
 }
 
--- a/crates/cranberrygap-control/tests/limits_takeover.rs
+++ b/crates/cranberrygap-control/tests/limits_takeover.rs
@@ -38,7 +38,7 @@
 fn leader() -> granter::Granter {
     let mut granter = granter::Granter::new(at(0), number::Term(1), &BTreeMap::new(), &[]);
     granter.configure(at(0), &workspace(), limit(), granter::Origin::Added);
-    granter.set_delegate(&workspace(), Some(&name("lender")));
+    granter.set_lender(&workspace(), Some(&name("lender")));
     granter
 }
 
@@ -64,18 +64,18 @@
 ) -> share::Granted {
     let answer = granter.renew(now, renewal).unwrap();
     log.apply(&state::Step {
-        allocations: answer.records,
+        allocations: answer.allocations,
     });
     answer.granted
 }
 
 /// Sends what callers ask for, more than the rate; gives the admitted tokens.
 fn admitted(holder: &mut holder::Holder, now: duration::Instant) -> u64 {
-    let patience = holder::Patience::of(duration::Span::from_millis(200));
+    let patience = holder::MaxWait::uniform(duration::Span::from_millis(200));
     let mut tokens = 0;
     for _request in 0..2 {
         let verdict = holder.admit(now, &workspace(), token::Count(COST), patience);
-        tokens += u64::from(matches!(verdict, holder::Verdict::Admitted(_))) * COST;
+        tokens += u64::from(matches!(verdict, holder::Admission::Admitted(_))) * COST;
     }
     let decided = holder.poll(now).into_iter();
     let late = decided
@@ -91,8 +91,8 @@
 fn new_leader_gives_nothing_that_an_entry_may_lend() {
     let mut log = state::Shares::default();
     let mut first = leader();
-    let mut lending = lending::Lending::new(name("lender"), number::Boot(1));
-    lending.follow(at(0), &[workspace()]);
+    let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
+    lending.set_workspaces(at(0), &[workspace()]);
     let mut own = entry("lender", 1, Some("lender"));
     let mut other = entry("other", 2, None);
     let mut second = None;
@@ -101,15 +101,15 @@
         let now = at(millis);
         let before = millis < TAKEOVER;
         if before {
-            if lending.due() <= now {
-                let renewal = lending.renew(now);
+            if lending.next_renewal_at() <= now {
+                let renewal = lending.begin_renewal(now);
                 let granted = answer(&mut first, &mut log, now, &renewal);
-                lending.granted(now, &granted);
+                lending.apply_grants(now, &granted);
             }
-            if own.due() <= now {
-                let renewal = own.renew(now);
+            if own.next_renewal_at() <= now {
+                let renewal = own.begin_renewal(now);
                 let granted = answer(&mut first, &mut log, now, &renewal);
-                own.granted(now, &granted);
+                own.apply_grants(now, &granted);
             }
             // A light load, so that the entry's own share is there and little is spent.
             if millis % 100 == 0 {
@@ -117,16 +117,16 @@
             }
         } else {
             let leader = second.get_or_insert_with(|| successor(&log));
-            if other.due() <= now {
-                let renewal = other.renew(now);
+            if other.next_renewal_at() <= now {
+                let renewal = other.begin_renewal(now);
                 let granted = answer(leader, &mut log, now, &renewal);
-                other.granted(now, &granted);
+                other.apply_grants(now, &granted);
             }
             spent += admitted(&mut own, now) + admitted(&mut other, now);
         }
-        for (_, question) in own.ask(now) {
+        for (_, question) in own.due_loan_requests(now) {
             let granted = lending.answer(now, &question).unwrap();
-            own.lent(now, &name("lender"), &granted);
+            own.apply_loans(now, &name("lender"), &granted);
         }
     }
 
--- a/crates/cranberrygap-entry/src/admission.rs
+++ b/crates/cranberrygap-entry/src/admission.rs
@@ -50,7 +50,7 @@
         &'call self,
         workspace: &'call id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
+        patience: holder::MaxWait,
     ) -> BoxFuture<'call, Result<holder::Reservation, Refused>>;
     /// Ends a reservation; what was not used goes back.
     fn settle(&self, reservation: &holder::Reservation, used: token::Count);
--- a/crates/cranberrygap-entry/src/admission/account.rs
+++ b/crates/cranberrygap-entry/src/admission/account.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Account {
     since: duration::Instant,
-    renewals: BTreeMap<holder::Reason, u64>,
+    renewals: BTreeMap<holder::RenewalReason, u64>,
     unanswered: u64,
     answers: Waits,
     served: Waits,
@@ -30,7 +30,7 @@
 
 impl Account {
     /// A renewal is sent.
-    pub(super) fn renewed(&mut self, reason: holder::Reason) {
+    pub(super) fn renewed(&mut self, reason: holder::RenewalReason) {
         *self.renewals.entry(reason).or_default() += 1;
     }
 
@@ -106,11 +106,11 @@
     }
 }
 
-const fn name(reason: holder::Reason) -> &'static str {
+const fn name(reason: holder::RenewalReason) -> &'static str {
     match reason {
-        holder::Reason::Period => "by period",
-        holder::Reason::Shortage => "for shortage",
-        holder::Reason::Confirmation => "to confirm",
-        holder::Reason::Silence => "after silence",
+        holder::RenewalReason::Interval => "by period",
+        holder::RenewalReason::Shortage => "for shortage",
+        holder::RenewalReason::Confirmation => "to confirm",
+        holder::RenewalReason::NoAnswer => "after silence",
     }
 }
--- a/crates/cranberrygap-entry/src/admission/permit.rs
+++ b/crates/cranberrygap-entry/src/admission/permit.rs
@@ -29,7 +29,7 @@
         workspace: &id::Workspace,
         tokens: token::Count,
     ) -> Result<Self, Refusal> {
-        let patience = holder::Patience::of(PATIENCE);
+        let patience = holder::MaxWait::uniform(PATIENCE);
         let outcome = Self::reserve_within(limiter, workspace, tokens, patience).await;
         outcome.map_err(|refused| refusal(refused, tokens))
     }
@@ -39,7 +39,7 @@
         limiter: &Arc<dyn Limiter>,
         workspace: &id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
+        patience: holder::MaxWait,
     ) -> Result<Self, Refused> {
         let reservation = limiter.reserve(workspace, tokens, patience).await?;
         Ok(Self {
--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct Inner {
     holder: holder::Holder,
-    lending: lending::Lending,
+    lending: lending::Lender,
     own: id::Instance,
     /// Where entries lend.
     addresses: BTreeMap<id::Instance, address::Socket>,
@@ -68,7 +68,7 @@
         self.holder.set_lenders(now, &lenders);
         let own = lenders.iter().filter(|(_, lender)| **lender == self.own);
         let own: Vec<id::Workspace> = own.map(|(workspace, _)| workspace.clone()).collect();
-        self.lending.follow(now, &own);
+        self.lending.set_workspaces(now, &own);
     }
 }
 
@@ -82,7 +82,7 @@
     fn drop(&mut self) {
         let mut inner = self.shares.inner.lock();
         if inner.waiting.remove(&self.ticket).is_some() {
-            inner.holder.abandon(self.ticket);
+            inner.holder.cancel(self.ticket);
         }
     }
 }
@@ -94,7 +94,7 @@
             clock,
             inner: Mutex::new(Inner {
                 own: instance.clone(),
-                lending: lending::Lending::new(instance.clone(), boot),
+                lending: lending::Lender::new(instance.clone(), boot),
                 holder: holder::Holder::new(instance, boot),
                 addresses: BTreeMap::new(),
                 waiting: BTreeMap::new(),
@@ -114,7 +114,7 @@
             if let Some(line) = self.inner.lock().account.line(self.clock.now()) {
                 spdlog::info!("limits: {line}");
             }
-            if self.inner.lock().holder.due() <= self.clock.now() {
+            if self.inner.lock().holder.next_renewal_at() <= self.clock.now() {
                 self.renew(&core).await;
             }
         }
@@ -123,33 +123,33 @@
     /// Renews what this entry lends, until the process stops.
     pub(crate) async fn lend(self: Arc<Self>, core: Arc<core::Core>) {
         loop {
-            let due = self.inner.lock().lending.due();
+            let due = self.inner.lock().lending.next_renewal_at();
             let span = due.since(self.clock.now()).min(LOOK);
             tokio::select! {
                 () = tokio::time::sleep(span.to_std()) => {}
                 () = self.lends.notified() => {}
             }
-            if self.inner.lock().lending.due() <= self.clock.now() {
+            if self.inner.lock().lending.next_renewal_at() <= self.clock.now() {
                 self.renew_lending(&core).await;
             }
         }
     }
 
     async fn renew_lending(&self, core: &core::Core) {
-        let renewal = self.inner.lock().lending.renew(self.clock.now());
+        let renewal = self.inner.lock().lending.begin_renewal(self.clock.now());
         let answer = core
             .leader
-            .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, lending::PATIENCE)
+            .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, lending::ANSWER_TIMEOUT)
             .await;
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         match answer {
             Ok(granted) => {
-                inner.lending.granted(now, &granted);
+                inner.lending.apply_grants(now, &granted);
             }
             Err(cause) => {
                 spdlog::debug!("limits: what is lent is not renewed: {cause}");
-                inner.lending.failed(renewal.sequence);
+                inner.lending.fail_renewal(renewal.sequence);
             }
         }
     }
@@ -171,7 +171,7 @@
 
     /// Waits until a question to an entry that lends may be due.
     pub(super) async fn borrowing(&self) {
-        let due = self.inner.lock().holder.asks_at();
+        let due = self.inner.lock().holder.next_loan_request_at();
         let span = due.map_or(LOOK, |due| due.since(self.clock.now()).min(LOOK));
         tokio::select! {
             () = tokio::time::sleep(span.to_std()) => {}
@@ -184,11 +184,11 @@
         let now = self.clock.now();
         let mut sent = Vec::new();
         let mut inner = self.inner.lock();
-        for (lender, question) in inner.holder.ask(now) {
+        for (lender, question) in inner.holder.due_loan_requests(now) {
             if lender == *own {
                 let answer = inner.lending.answer(now, &question);
                 if let Some(answer) = answer {
-                    inner.holder.lent(now, own, &answer);
+                    inner.holder.apply_loans(now, own, &answer);
                 }
                 continue;
             }
@@ -225,7 +225,7 @@
         let Some(lender) = lender.map(|(lender, _)| lender.clone()) else {
             return;
         };
-        inner.holder.lent(now, &lender, answer);
+        inner.holder.apply_loans(now, &lender, answer);
         drop(inner);
         self.serve();
     }
@@ -234,7 +234,10 @@
     async fn rest(&self) {
         let (due, wake) = {
             let inner = self.inner.lock();
-            (inner.holder.due(), inner.holder.wake())
+            (
+                inner.holder.next_renewal_at(),
+                inner.holder.next_decision_at(),
+            )
         };
         let until = wake.map_or(due, |wake| due.min(wake));
         let span = until.since(self.clock.now()).min(LOOK);
@@ -249,16 +252,16 @@
         let begin = self.clock.now();
         let renewal = {
             let mut inner = self.inner.lock();
-            let reason = inner.holder.reason();
+            let reason = inner.holder.renewal_reason();
             inner.account.renewed(reason);
-            inner.holder.renew(begin)
+            inner.holder.begin_renewal(begin)
         };
         let asking = core
             .leader
             .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, ANSWER);
         tokio::pin!(asking);
         let answer = loop {
-            let wake = self.inner.lock().holder.wake();
+            let wake = self.inner.lock().holder.next_decision_at();
             let rest = wake.map_or(ANSWER, |wake| wake.since(self.clock.now()));
             tokio::select! {
                 answer = &mut asking => break answer,
@@ -271,9 +274,9 @@
             inner.account.answered(now.since(begin), answer.is_ok());
             match answer {
                 Ok(granted) => {
-                    inner.holder.granted(now, &granted);
+                    inner.holder.apply_grants(now, &granted);
                 }
-                Err(_cause) => inner.holder.failed(renewal.sequence),
+                Err(_cause) => inner.holder.fail_renewal(renewal.sequence),
             }
         }
         self.serve();
@@ -289,7 +292,9 @@
             };
             // Whoever has left meanwhile used nothing.
             if let Err(holder::Decision::Admitted(unused)) = waiter.send(decision) {
-                inner.holder.settle(now, &unused, token::Count(0));
+                inner
+                    .holder
+                    .close_reservation(now, &unused, token::Count(0));
             }
         }
     }
@@ -315,7 +320,7 @@
         &self,
         workspace: &id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
+        patience: holder::MaxWait,
     ) -> Result<holder::Reservation, Refused> {
         let burst = self
             .inner
@@ -331,11 +336,11 @@
             let now = begin;
             let mut inner = self.inner.lock();
             match inner.holder.admit(now, workspace, tokens, patience) {
-                holder::Verdict::Admitted(reservation) => {
+                holder::Admission::Admitted(reservation) => {
                     inner.account.served_at_once();
                     return Ok(reservation);
                 }
-                holder::Verdict::Waiting(ticket) => {
+                holder::Admission::Queued(ticket) => {
                     let (sender, decided) = oneshot::channel();
                     inner.waiting.insert(ticket, sender);
                     (ticket, decided)
@@ -366,14 +371,17 @@
         &'call self,
         workspace: &'call id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
+        patience: holder::MaxWait,
     ) -> BoxFuture<'call, Result<holder::Reservation, Refused>> {
         Box::pin(self.take(workspace, tokens, patience))
     }
 
     fn settle(&self, reservation: &holder::Reservation, used: token::Count) {
         let now = self.clock.now();
-        self.inner.lock().holder.settle(now, reservation, used);
+        self.inner
+            .lock()
+            .holder
+            .close_reservation(now, reservation, used);
     }
 
     fn follow(&self, view: &view::Snapshot) {
@@ -400,8 +408,8 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         inner.limits = limits.chain(planned).collect();
-        inner.holder.set_entries(view.entries());
-        inner.lending.set_entries(view.entries());
+        inner.holder.set_entry_count(view.entries());
+        inner.lending.set_entry_count(view.entries());
         inner.follow_lenders(now, view);
         drop(inner);
         self.lends.notify_one();
--- a/crates/cranberrygap-entry/src/caller/services.rs
+++ b/crates/cranberrygap-entry/src/caller/services.rs
@@ -160,7 +160,7 @@
     /// retry budget and the deadline allow.
     async fn look_up(&self, call: &Call) -> Result<ending::Ending, Refusal> {
         let deadline = self.core.now().after(call.deadline);
-        self.core.retries.lock().request();
+        self.core.retries.lock().record_request();
         let mut tried = route::Tried::new();
         let mut outcome = Outcome::NotRun;
         for number in 1.. {
@@ -176,10 +176,10 @@
             let ending::Ending::Failed(evidence) = ending else {
                 return Ok(ending);
             };
-            outcome = outcome.and_then(Outcome::of(evidence));
+            outcome = outcome.combined_with(Outcome::from_evidence(evidence));
             let attempt = retry::Attempt {
                 class: retry::Class::Idempotent,
-                number,
+                dispatches: number,
                 outcome,
                 deadline,
             };
@@ -202,7 +202,7 @@
             let mut budget = self.core.retries.lock();
             budget.decide(now, attempt, &mut rand::rng())
         };
-        let retry::Decision::Again(wait) = decision else {
+        let retry::Decision::Retry(wait) = decision else {
             return false;
         };
         tokio::time::sleep(wait.to_std()).await;
@@ -298,7 +298,7 @@
         let ending = self.send(call, choice, client).await;
         let sentence = match &ending {
             ending::Ending::Answered { .. } => "the endpoint answered",
-            ending::Ending::Failed(evidence) => match Outcome::of(*evidence) {
+            ending::Ending::Failed(evidence) => match Outcome::from_evidence(*evidence) {
                 Outcome::NotRun => "it is proven that the call did not run",
                 _ => "no whole answer came; the call may have run",
             },
--- a/crates/cranberrygap-entry/src/control/heartbeat.rs
+++ b/crates/cranberrygap-entry/src/control/heartbeat.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranberrygap_model::{duration, number};
-use cranberrygap_policy::pace;
+use cranberrygap_policy::leader_calls;
 use cranberrygap_wire::{method, view};
 use spdlog::{info, warn};
 
@@ -58,7 +58,7 @@
     /// to be in force or an endpoint has news.
     async fn wait(&self) {
         let view = self.core.view.latest();
-        let gap = pace::gap(view.map_or(0, |view| view.entries())).to_std();
+        let gap = leader_calls::min_interval(view.map_or(0, |view| view.entries())).to_std();
         if !self.reached {
             tokio::time::sleep(RETRY.max(gap)).await;
             return;
--- a/crates/cranberrygap-entry/src/core.rs
+++ b/crates/cranberrygap-entry/src/core.rs
@@ -6,7 +6,7 @@
 use cadence::{Counted as _, StatsdClient, Timed as _};
 use cranberrygap_link::clock;
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_policy::quarantine::watch;
+use cranberrygap_policy::quarantine::suspects;
 use cranberrygap_policy::retry;
 use cranberrygap_wire::settings;
 use parking_lot::Mutex;
@@ -44,7 +44,7 @@
     /// Retries that may still be made.
     pub(crate) retries: Mutex<retry::Budget>,
     /// What runs on which endpoint, and who is suspected to crash them.
-    pub(crate) watch: Mutex<watch::Watch>,
+    pub(crate) watch: Mutex<suspects::Tracker>,
     pub(crate) announcements: announce::Inbox,
     pub(crate) demand: control::Demand,
     pub(crate) metrics: Arc<StatsdClient>,
--- a/crates/cranberrygap-entry/src/engine/delivery.rs
+++ b/crates/cranberrygap-entry/src/engine/delivery.rs
@@ -48,7 +48,7 @@
         if let Some(view) = core.view.latest() {
             budget.set_share(view.defaults().retry_share);
         }
-        budget.request();
+        budget.record_request();
         drop(budget);
         Self {
             core: Arc::clone(core),
@@ -108,11 +108,11 @@
     ) -> Result<(), Refusal> {
         self.crashes += u32::from(sent.broke(evidence).await);
         drop(sent);
-        let outcome = Outcome::of(evidence);
+        let outcome = Outcome::from_evidence(evidence);
         self.outcome = if self.attempts <= 1 {
             outcome
         } else {
-            self.outcome.and_then(outcome)
+            self.outcome.combined_with(outcome)
         };
         self.check_quarantine()?;
         if self.crashes >= MOST_CRASHES {
@@ -120,7 +120,7 @@
         }
         let attempt = retry::Attempt {
             class: retry::Class::Idempotent,
-            number: self.attempts,
+            dispatches: self.attempts,
             outcome: self.outcome,
             deadline: self.call.deadline,
         };
@@ -131,7 +131,7 @@
             .lock()
             .decide(now, attempt, &mut rand::rng());
         match decision {
-            retry::Decision::Again(wait) => {
+            retry::Decision::Retry(wait) => {
                 tokio::time::sleep(wait.to_std()).await;
                 Ok(())
             }
@@ -146,7 +146,7 @@
             };
         }
         match reason {
-            retry::Reason::Deadline => Refusal::DeadlineExceeded,
+            retry::Reason::DeadlineExceeded => Refusal::DeadlineExceeded,
             _ => Refusal::EndpointFailed,
         }
     }
@@ -169,7 +169,7 @@
             let now = self.core.now();
             self.core.router.ended(now, &choice, false);
             if self.remaining() <= SUSPECT_WAIT {
-                return Err(self.refusal(retry::Reason::Deadline));
+                return Err(self.refusal(retry::Reason::DeadlineExceeded));
             }
             if self.all_tried() {
                 tokio::time::sleep(SUSPECT_WAIT.to_std()).await;
@@ -184,7 +184,7 @@
         let fingerprint = &self.call.fingerprint;
         let (running, is_suspect) = {
             let mut watch = self.core.watch.lock();
-            let started = watch.start(now, &place, fingerprint);
+            let started = watch.start_request(now, &place, fingerprint);
             (started.ok()?, watch.is_suspect(now, fingerprint))
         };
         if !is_suspect {
@@ -193,7 +193,10 @@
         }
         let leave = leave::Leave::ask(&self.core, &place, fingerprint).await;
         if leave.is_none() {
-            self.core.watch.lock().ended(&place, running, false);
+            self.core
+                .watch
+                .lock()
+                .finish_request(&place, running, false);
             return None;
         }
         Some(sent::Started { running, leave })
@@ -216,7 +219,7 @@
         // Nobody else has the model: the same engine may answer on a new connection.
         self.tried.clear();
         let choice = self.ask_router();
-        choice.ok_or_else(|| self.refusal(retry::Reason::Attempts))
+        choice.ok_or_else(|| self.refusal(retry::Reason::AttemptsExhausted))
     }
 
     fn ask_router(&self) -> Option<route::Choice> {
--- a/crates/cranberrygap-entry/src/engine/leave.rs
+++ b/crates/cranberrygap-entry/src/engine/leave.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranberrygap_model::duration;
-use cranberrygap_policy::quarantine::{probe, watch};
+use cranberrygap_policy::quarantine::{permission, suspects};
 use cranberrygap_wire::{claim, method};
 use smol_str::SmolStr;
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct Leave {
     core: Arc<core::Core>,
-    place: watch::Place,
+    place: suspects::Incarnation,
     fingerprint: SmolStr,
     renewing: tokio::task::JoinHandle<()>,
 }
@@ -30,7 +30,7 @@
     /// no leader answers.
     pub(super) async fn ask(
         core: &Arc<core::Core>,
-        place: &watch::Place,
+        place: &suspects::Incarnation,
         fingerprint: &SmolStr,
     ) -> Option<Self> {
         if !renew(core, place, fingerprint).await {
@@ -60,7 +60,7 @@
         self.core
             .watch
             .lock()
-            .release(&self.place, &self.fingerprint);
+            .release_permission(&self.place, &self.fingerprint);
         let core = Arc::clone(&self.core);
         let message = message(&core, &self.place, &self.fingerprint, true);
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
@@ -70,12 +70,12 @@
 }
 
 /// Asks once; the lease runs from the sending.
-async fn renew(core: &core::Core, place: &watch::Place, fingerprint: &SmolStr) -> bool {
+async fn renew(core: &core::Core, place: &suspects::Incarnation, fingerprint: &SmolStr) -> bool {
     let sent = core.now();
     let granted = call(core, &message(core, place, fingerprint, false)).await;
     if granted {
-        let until = sent.after(probe::LEASE);
-        core.watch.lock().lease(place, fingerprint, until);
+        let until = sent.after(permission::LEASE_DURATION);
+        core.watch.lock().hold_permission(place, fingerprint, until);
     }
     granted
 }
@@ -89,7 +89,7 @@
 
 fn message(
     core: &core::Core,
-    place: &watch::Place,
+    place: &suspects::Incarnation,
     fingerprint: &SmolStr,
     ends: bool,
 ) -> claim::Leave {
--- a/crates/cranberrygap-entry/src/engine/sent.rs
+++ b/crates/cranberrygap-entry/src/engine/sent.rs
@@ -5,7 +5,7 @@
 
 use cranberrygap_model::{address, duration};
 use cranberrygap_policy::outcome::Evidence;
-use cranberrygap_policy::quarantine::watch;
+use cranberrygap_policy::quarantine::suspects;
 use cranberrygap_trace::note;
 use cranberrygap_wire::{claim, endpoint, method};
 use smol_str::SmolStr;
@@ -37,8 +37,8 @@
 }
 
 /// The life of the endpoint that a choice was made for.
-pub(super) fn place(choice: &route::Choice) -> watch::Place {
-    watch::Place {
+pub(super) fn place(choice: &route::Choice) -> suspects::Incarnation {
+    suspects::Incarnation {
         endpoint: choice.endpoint.clone(),
         boot: choice.boot,
     }
@@ -89,7 +89,11 @@
     pub(crate) fn answer(&mut self) {
         let place = place(&self.choice);
         let fingerprint = self.fingerprint.clone();
-        let cleared = self.core.watch.lock().ended(&place, self.running, true);
+        let cleared = self
+            .core
+            .watch
+            .lock()
+            .finish_request(&place, self.running, true);
         if cleared {
             let message = claim::Crash {
                 cleared: vec![fingerprint],
@@ -116,22 +120,25 @@
         let place = place(&self.choice);
         if evidence == Evidence::ConnectFailed {
             // It cannot have harmed an engine that it never reached.
-            self.core.watch.lock().ended(&place, self.running, false);
+            self.core
+                .watch
+                .lock()
+                .finish_request(&place, self.running, false);
         }
         if !self.core.watch.lock().is_dead(&place) && !self.is_dead().await {
             return false;
         }
-        let crash = self.core.watch.lock().died(self.core.now(), &place);
+        let crash = self.core.watch.lock().record_death(self.core.now(), &place);
         if let Some(crash) = crash {
             warn!(
                 "quarantine: {} died with {} requests of this entry",
-                crash.place.endpoint,
+                crash.incarnation.endpoint,
                 crash.fingerprints.len()
             );
             let message = claim::Crash {
                 fingerprints: crash.fingerprints,
                 probed: crash.probed,
-                ..self.message(crash.place)
+                ..self.message(crash.incarnation)
             };
             report(&self.core, &message).await;
         }
@@ -158,7 +165,7 @@
         report.is_ok_and(|report| report.boot != self.choice.boot)
     }
 
-    fn message(&self, place: watch::Place) -> claim::Crash {
+    fn message(&self, place: suspects::Incarnation) -> claim::Crash {
         claim::Crash {
             endpoint: place.endpoint,
             boot: place.boot,
@@ -190,7 +197,10 @@
         let facts: [(&'static str, &dyn std::fmt::Display); 1] = [("took", &time)];
         self.core.trace.note(&self.about, code, sentence, &facts);
         let place = place(&self.choice);
-        self.core.watch.lock().ended(&place, self.running, false);
+        self.core
+            .watch
+            .lock()
+            .finish_request(&place, self.running, false);
         self.core
             .router
             .ended(self.core.now(), &self.choice, self.failed);
--- a/crates/cranberrygap-entry/src/gateway.rs
+++ b/crates/cranberrygap-entry/src/gateway.rs
@@ -28,7 +28,7 @@
 
 use std::sync::Arc;
 
-use cranberrygap_policy::reserve;
+use cranberrygap_policy::resend;
 use parking_lot::Mutex;
 
 use crate::core;
@@ -39,7 +39,7 @@
     pub(crate) core: Arc<core::Core>,
     pub(crate) dialect: Arc<dyn dialect::Dialect>,
     pub(crate) pool: pool::Pool,
-    pub(crate) reserve: Mutex<reserve::Reserve>,
+    pub(crate) reserve: Mutex<resend::Budget>,
     pub(crate) volume: volume::Volume,
 }
 
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -372,8 +372,8 @@
     let cost = facts.cost(payer);
     let given = facts.silence_ends(&resolved.route).since(facts.arrived);
     let objective = resolved.route.objective;
-    let patience = holder::Patience {
-        in_line: duration::Span(objective.0 / LINE_PART).min(LINE_WAIT),
+    let patience = holder::MaxWait {
+        in_queue: duration::Span(objective.0 / LINE_PART).min(LINE_WAIT),
         for_leader: duration::Span(given.0 / LEADER_PART),
     };
     let reserved = admission::Permit::reserve_within(limiter, &payer.name, cost, patience);
--- a/crates/cranberrygap-entry/src/queue.rs
+++ b/crates/cranberrygap-entry/src/queue.rs
@@ -137,7 +137,7 @@
         }
         let line = lines.entry(wish.model.clone()).or_insert_with(Line::new);
         line.capacity = wish.capacity;
-        line.queue.set_length(wish.length);
+        line.queue.set_capacity(wish.length);
         line.next += 1;
         let number = line.next;
         let request = fairness::Request {
--- a/crates/cranberrygap-entry/src/relay.rs
+++ b/crates/cranberrygap-entry/src/relay.rs
@@ -136,7 +136,7 @@
         };
         let attempt = self.progress.attempt().clone();
         if sse::is_done(data) {
-            let decision = self.progress.take(&attempt, policy::Event::End);
+            let decision = self.progress.accept(&attempt, policy::Event::End);
             if decision == policy::Decision::Deliver {
                 self.end();
             }
@@ -145,7 +145,7 @@
         let chunk = chunk::Chunk::read(data);
         let mut decision = policy::Decision::Skip;
         for event in chunk.events() {
-            let next = self.progress.take(&attempt, event);
+            let next = self.progress.accept(&attempt, event);
             if next == policy::Decision::Broken {
                 return next;
             }
--- a/crates/cranberrygap-policy/src/claims.rs
+++ b/crates/cranberrygap-policy/src/claims.rs
@@ -184,7 +184,7 @@
 }
 
 fn from(evidence: Evidence) -> claim::Outcome {
-    match Outcome::of(evidence) {
+    match Outcome::from_evidence(evidence) {
         Outcome::NotRun => claim::Outcome::NotRun,
         Outcome::Answered | Outcome::Unknown => claim::Outcome::Unknown,
     }
--- a/crates/cranberrygap-policy/src/fairness.rs
+++ b/crates/cranberrygap-policy/src/fairness.rs
@@ -94,7 +94,7 @@
     }
 
     /// Changes the bound of the queue.
-    pub fn set_length(&mut self, length: usize) {
+    pub fn set_capacity(&mut self, length: usize) {
         self.length = length.max(1);
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Corrects the charge of a request that cost `used` instead of `cost`.
-    pub fn settle(&mut self, request: &Request, used: token::Count) {
+    pub fn correct_charge(&mut self, request: &Request, used: token::Count) {
         let Some(counter) = self.counters.get_mut(&request.workspace) else {
             return;
         };
--- a/crates/cranberrygap-policy/src/pace.rs
+++ b/crates/cranberrygap-policy/src/leader_calls.rs
@@ -7,6 +7,6 @@
 
 /// Least time between two calls of one kind from one of so many entries.
 #[must_use]
-pub const fn gap(entries: usize) -> duration::Span {
+pub const fn min_interval(entries: usize) -> duration::Span {
     duration::Span(EACH.0 * entries as u64)
 }
--- a/crates/cranberrygap-policy/src/lib.rs
+++ b/crates/cranberrygap-policy/src/lib.rs
@@ -2,10 +2,10 @@
 
 pub mod claims;
 pub mod fairness;
+pub mod leader_calls;
 pub mod limits;
 pub mod outcome;
-pub mod pace;
 pub mod quarantine;
-pub mod reserve;
+pub mod resend;
 pub mod retry;
 pub mod stream;
--- a/crates/cranberrygap-policy/src/limits/bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket.rs
@@ -8,9 +8,9 @@
 
 use super::amount::{self, Amount, Flow};
 use super::floor::Floor;
-use super::lender::{self, Lender, Supply};
+use super::loan_issuer::{self, LoanIssuer, Supply};
 use super::owner::Owner;
-use super::{LEASE, Limit};
+use super::{LEASE_DURATION, Limit};
 use delegation::Delegation;
 use holdings::Holdings;
 
@@ -102,7 +102,7 @@
     pool: Amount,
     accrued: duration::Instant,
     shares: Holdings,
-    lender: Lender,
+    lender: LoanIssuer,
     floor: Floor,
     delegation: Delegation,
 }
@@ -115,7 +115,7 @@
             pool: Amount::ZERO,
             accrued: now,
             shares: Holdings::default(),
-            lender: Lender::default(),
+            lender: LoanIssuer::default(),
             floor: Floor::default(),
             delegation: Delegation::default(),
         };
@@ -140,7 +140,7 @@
 
     /// A process has ended, so that it renews no more; what it lent ends with its loans.
     pub(super) fn ended(&mut self, now: duration::Instant, owner: &Owner) {
-        let end = lender::cleared(now);
+        let end = loan_issuer::cleared(now);
         if self.shares.get(owner).is_some() {
             self.shares
                 .update(owner, |share| share.until = share.until.min(end));
@@ -171,7 +171,7 @@
     /// Loans are not in the log. One that is spent after the election would come on top
     /// of what the new pool has gathered, and a caller would get more than the burst.
     pub(super) fn succeed(&mut self, now: duration::Instant) {
-        self.accrued = lender::cleared(now);
+        self.accrued = loan_issuer::cleared(now);
     }
 
     /// Takes over a share from the log as if it had been renewed just now.
@@ -307,7 +307,7 @@
         if self.floor.kept != self.floor.logged {
             let grows = self.floor.kept > self.floor.logged;
             let list = if grows { &mut larger } else { &mut smaller };
-            list.push(lender::promise(
+            list.push(loan_issuer::promise(
                 workspace,
                 self.floor.kept,
                 self.rate,
@@ -513,8 +513,8 @@
 }
 
 fn expiry(now: duration::Instant) -> duration::Instant {
-    now.after(LEASE)
-        .after(duration::Span(LEASE.0 / LEASE_MARGIN))
+    now.after(LEASE_DURATION)
+        .after(duration::Span(LEASE_DURATION.0 / LEASE_MARGIN))
 }
 
 /// The old value while the new one is close to it, else the new one.
--- a/crates/cranberrygap-policy/src/limits/granter.rs
+++ b/crates/cranberrygap-policy/src/limits/granter.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 
 use super::bucket::Bucket;
-use super::lender;
+use super::loan_issuer;
 use super::owner::Owner;
-use super::{LEASE, Limit};
+use super::{LEASE_DURATION, Limit};
 
 /// Pools and shares of all workspaces during one leader's period of office.
 #[derive(Debug, Clone)]
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// Allocations to commit, in this order, before the answer may be sent.
-    pub records: Vec<share::Allocation>,
+    pub allocations: Vec<share::Allocation>,
     /// The answer for the entry.
     pub granted: share::Granted,
 }
@@ -94,12 +94,15 @@
             let Some(bucket) = granter.buckets.get_mut(&allocation.workspace) else {
                 continue;
             };
-            if !lender::is_promise(allocation) {
+            if !loan_issuer::is_promise(allocation) {
                 bucket.inherit(now, allocation);
             }
         }
         // What shares hold is known now, so that no promise counts beyond the burst.
-        for allocation in logged.iter().filter(|logged| lender::is_promise(logged)) {
+        for allocation in logged
+            .iter()
+            .filter(|logged| loan_issuer::is_promise(logged))
+        {
             if let Some(bucket) = granter.buckets.get_mut(&allocation.workspace) {
                 bucket.keep(allocation);
             }
@@ -130,14 +133,19 @@
     /// Takes over which entry lends a workspace's tokens in place of this leader.
     ///
     /// It gets all of rate and burst that no share is to have, under a lease like theirs.
-    pub fn set_delegate(&mut self, workspace: &id::Workspace, delegate: Option<&id::Instance>) {
+    pub fn set_lender(&mut self, workspace: &id::Workspace, delegate: Option<&id::Instance>) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.set_delegate(delegate);
         }
     }
 
     /// A process of an entry has ended: its instance runs another one now.
-    pub fn ended(&mut self, now: duration::Instant, instance: &id::Instance, boot: number::Boot) {
+    pub fn record_process_end(
+        &mut self,
+        now: duration::Instant,
+        instance: &id::Instance,
+        boot: number::Boot,
+    ) {
         for lends in [false, true] {
             let owner = Owner {
                 instance: instance.clone(),
@@ -152,7 +160,7 @@
 
     /// Whether an entry may lend a workspace's tokens for now.
     #[must_use]
-    pub fn lends(&self, workspace: &id::Workspace, instance: &id::Instance) -> bool {
+    pub fn is_lender(&self, workspace: &id::Workspace, instance: &id::Instance) -> bool {
         let bucket = self.buckets.get(workspace);
         let mut owners = bucket.into_iter().flat_map(Bucket::owners);
         owners.any(|owner| owner.lends && owner.instance == *instance)
@@ -160,7 +168,7 @@
 
     /// Whether most callers of a workspace are at entries that do not reach the one that lends.
     #[must_use]
-    pub fn is_delegate_avoided(&self, workspace: &id::Workspace) -> bool {
+    pub fn is_lender_unreachable(&self, workspace: &id::Workspace) -> bool {
         let bucket = self.buckets.get(workspace);
         bucket.is_some_and(Bucket::is_delegate_avoided)
     }
@@ -196,15 +204,18 @@
         let granted = share::Granted {
             sequence: renew.sequence,
             term: self.term,
-            lease: LEASE,
+            lease: LEASE_DURATION,
             grants,
         };
-        Ok(Answer { records, granted })
+        Ok(Answer {
+            allocations: records,
+            granted,
+        })
     }
 
     /// Closes shares whose lease has run out for certain; gives what to commit.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<share::Allocation> {
-        let long_gone = |seen: &Seen| now.since(seen.at) > duration::Span(LEASE.0 * 2);
+        let long_gone = |seen: &Seen| now.since(seen.at) > duration::Span(LEASE_DURATION.0 * 2);
         self.sequences.retain(|_, seen| !long_gone(seen));
         let mut records = Vec::new();
         for (workspace, bucket) in &mut self.buckets {
--- a/crates/cranberrygap-policy/src/limits/holder.rs
+++ b/crates/cranberrygap-policy/src/limits/holder.rs
@@ -9,19 +9,19 @@
 use serde::Serialize;
 
 use super::amount::Amount;
-pub use super::line::Patience;
+pub use super::line::MaxWait;
 use super::renewals::Renewals;
 use super::stock::Stock;
 use super::stream::{Source, Stream};
-use super::{LEASE, PERIOD};
-use crate::pace;
+use super::{LEASE_DURATION, RENEWAL_INTERVAL};
+use crate::leader_calls;
 
 /// Least time between two renewals, so that a shortage does not flood the leader.
 const LEAST_GAP: duration::Span = duration::Span::from_millis(10);
 
 /// Time after which an unanswered renewal is given up. Well below the lease, so
 /// that several renewals fit into one.
-pub const PATIENCE: duration::Span = duration::Span::from_millis(700);
+pub const ANSWER_TIMEOUT: duration::Span = duration::Span::from_millis(700);
 
 /// Time between two renewals that only tell the leader of demand, which other entries lend
 /// for; as many times the gap, so that the leader's work for them does not grow with the fleet.
@@ -45,18 +45,18 @@
 
 /// Why a renewal is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum RenewalReason {
     /// A period has passed, or the first one is sent.
-    Period,
+    Interval,
     /// Requests wait for tokens.
     Shortage,
     /// The leader is to hear soon that a changed share has arrived.
     Confirmation,
     /// The last one got no answer.
-    Silence,
+    NoAnswer,
 }
 
-/// Tokens taken for one request; handed back to [`Holder::settle`] at its end.
+/// Tokens taken for one request; handed back to [`Holder::close_reservation`] at its end.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     workspace: id::Workspace,
@@ -66,11 +66,11 @@
 
 /// Answer to a request for tokens.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// The tokens are taken.
     Admitted(Reservation),
     /// The tokens are not here; [`Holder::poll`] decides on this ticket.
-    Waiting(u64),
+    Queued(u64),
 }
 
 /// What becomes of a request that waited for tokens.
@@ -116,8 +116,8 @@
     }
 
     /// Takes over how many entries renew at the same leader.
-    pub fn set_entries(&mut self, entries: usize) {
-        self.gap = pace::gap(entries).max(LEAST_GAP);
+    pub fn set_entry_count(&mut self, entries: usize) {
+        self.gap = leader_calls::min_interval(entries).max(LEAST_GAP);
     }
 
     /// Takes `cost` tokens of `workspace`, or lets the request wait for them
@@ -127,8 +127,8 @@
         now: duration::Instant,
         workspace: &id::Workspace,
         cost: token::Count,
-        patience: Patience,
-    ) -> Verdict {
+        patience: MaxWait,
+    ) -> Admission {
         let stock = self
             .stocks
             .entry(workspace.clone())
@@ -139,17 +139,17 @@
         self.numbers += 1;
         if stock.line.may_pass(amount) && stock.take(amount, self.numbers) {
             stock.line.pass(amount);
-            return Verdict::Admitted(Reservation {
+            return Admission::Admitted(Reservation {
                 workspace: workspace.clone(),
                 number: self.numbers,
                 cost,
             });
         }
         stock.line.push(now, self.numbers, amount, patience);
-        Verdict::Waiting(self.numbers)
+        Admission::Queued(self.numbers)
     }
 
-    /// Decides on waiting requests; to be called after each answer and at [`Holder::wake`].
+    /// Decides on waiting requests; to be called after each answer and at [`Holder::next_decision_at`].
     pub fn poll(&mut self, now: duration::Instant) -> Vec<(u64, Decision)> {
         let mut decided = Vec::new();
         for (workspace, stock) in &mut self.stocks {
@@ -176,19 +176,19 @@
 
     /// When [`Holder::poll`] can next decide something by the passing of time.
     #[must_use]
-    pub fn wake(&self) -> Option<duration::Instant> {
+    pub fn next_decision_at(&self) -> Option<duration::Instant> {
         self.stocks.values().filter_map(Stock::wake).min()
     }
 
     /// Forgets a waiting request whose caller has left.
-    pub fn abandon(&mut self, ticket: u64) {
+    pub fn cancel(&mut self, ticket: u64) {
         for stock in self.stocks.values_mut() {
             stock.line.remove(ticket);
         }
     }
 
     /// Ends a reservation of which `used` tokens were spent; refunds the rest.
-    pub fn settle(
+    pub fn close_reservation(
         &mut self,
         now: duration::Instant,
         reservation: &Reservation,
@@ -204,16 +204,16 @@
 
     /// When the next renewal is to be sent.
     #[must_use]
-    pub fn due(&self) -> duration::Instant {
+    pub fn next_renewal_at(&self) -> duration::Instant {
         let Some(sent) = self.renewals.sent() else {
             return duration::Instant::default();
         };
         if self.renewals.is_awaited() {
-            return sent.after(PATIENCE);
+            return sent.after(ANSWER_TIMEOUT);
         }
         let soonest = sent.after(self.gap);
         if self.renewals.has_failed() {
-            return sent.after(PERIOD.max(self.gap));
+            return sent.after(RENEWAL_INTERVAL.max(self.gap));
         }
         if self.stocks.values().any(Stock::owes) {
             return soonest;
@@ -237,7 +237,7 @@
             .clone()
             .any(|stock| stock.holds() || stock.lender.is_none())
         {
-            return sent.after(PERIOD.max(self.gap));
+            return sent.after(RENEWAL_INTERVAL.max(self.gap));
         }
         if active.next().is_some() {
             return sent.after(REPORT.max(duration::Span(self.gap.0 * REPORT_GAPS)));
@@ -261,26 +261,26 @@
 
     /// Why a renewal that is due now is sent.
     #[must_use]
-    pub fn reason(&self) -> Reason {
+    pub fn renewal_reason(&self) -> RenewalReason {
         let Some(sent) = self.renewals.sent() else {
-            return Reason::Period;
+            return RenewalReason::Interval;
         };
         if self.renewals.has_failed() || self.renewals.is_awaited() {
-            return Reason::Silence;
+            return RenewalReason::NoAnswer;
         }
         if self.stocks.values().any(Stock::owes) {
-            return Reason::Confirmation;
+            return RenewalReason::Confirmation;
         }
         let asks = self.asks_leader_at(sent.after(self.gap));
         match asks {
-            Some(asks) if asks < self.latest(sent) => Reason::Shortage,
-            _ => Reason::Period,
+            Some(asks) if asks < self.latest(sent) => RenewalReason::Shortage,
+            _ => RenewalReason::Interval,
         }
     }
 
     /// The renewal to send now. An answer that is still awaited is given up: if
     /// it comes late it is dropped with its tokens.
-    pub fn renew(&mut self, now: duration::Instant) -> share::Renew {
+    pub fn begin_renewal(&mut self, now: duration::Instant) -> share::Renew {
         let sequence = self.renewals.begin(now);
         self.stocks
             .values_mut()
@@ -319,7 +319,7 @@
     ///
     /// The lease runs from the sending of the renewal. The leader counts from
     /// its answer, which is later, so this holder stops first.
-    pub fn granted(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
+    pub fn apply_grants(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
         let Some(sent) = self.renewals.answered(answer.sequence) else {
             return false;
         };
@@ -341,7 +341,7 @@
 
     /// Notes that a renewal got no answer; should one come after all, it is
     /// dropped with its tokens.
-    pub fn failed(&mut self, sequence: number::Sequence) {
+    pub fn fail_renewal(&mut self, sequence: number::Sequence) {
         self.renewals.fail(sequence);
     }
 
@@ -356,14 +356,14 @@
 
     /// Number of the last renewal that was sent.
     #[must_use]
-    pub fn sequence(&self) -> number::Sequence {
+    pub fn last_sequence(&self) -> number::Sequence {
         self.renewals.sequence()
     }
 
     /// Longest time that this holder may still admit after its last answer.
     #[must_use]
-    pub const fn lease() -> duration::Span {
-        LEASE
+    pub const fn lease_duration() -> duration::Span {
+        LEASE_DURATION
     }
 
     /// All shares, for a dump.
--- a/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
+++ b/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
@@ -6,7 +6,7 @@
 use cranberrygap_wire::share;
 
 use super::super::amount::Amount;
-use super::super::lender::LIFE;
+use super::super::loan_issuer::LOAN_DURATION;
 use super::super::stock::Stock;
 use super::super::stream::{Source, Stream};
 use super::Holder;
@@ -40,9 +40,9 @@
         self.lenders.retain(|lender, _| named.contains(&lender));
     }
 
-    /// When [`Holder::ask`] has something to send to an entry that lends.
+    /// When [`Holder::due_loan_requests`] has something to send to an entry that lends.
     #[must_use]
-    pub fn asks_at(&self) -> Option<duration::Instant> {
+    pub fn next_loan_request_at(&self) -> Option<duration::Instant> {
         let lenders = self.lenders.iter();
         lenders
             .filter_map(|(lender, stream)| self.asks_lender_at(lender, stream))
@@ -71,7 +71,10 @@
     }
 
     /// Questions to send now, each to the entry that lends.
-    pub fn ask(&mut self, now: duration::Instant) -> Vec<(id::Instance, share::Renew)> {
+    pub fn due_loan_requests(
+        &mut self,
+        now: duration::Instant,
+    ) -> Vec<(id::Instance, share::Renew)> {
         self.stocks
             .values_mut()
             .for_each(|stock| stock.advance(now));
@@ -120,7 +123,7 @@
 
     /// Takes what an entry lends; true when it was the awaited answer. [`Holder::poll`] is to
     /// be called then.
-    pub fn lent(
+    pub fn apply_loans(
         &mut self,
         now: duration::Instant,
         lender: &id::Instance,
@@ -132,7 +135,7 @@
             return false;
         };
         let source = Source::Entry(lender.clone());
-        let until = sent.after(answer.lease.min(LIFE));
+        let until = sent.after(answer.lease.min(LOAN_DURATION));
         for demand in &question.demands {
             let Some(stock) = self.stocks.get_mut(&demand.workspace) else {
                 continue;
--- a/crates/cranberrygap-policy/src/limits/lending.rs
+++ b/crates/cranberrygap-policy/src/limits/lending.rs
@@ -1,7 +1,7 @@
 //! The side of an entry that lends: lends a workspace's tokens to the others.
 //!
 //! The leader hands the pool of a workspace to one entry as a large share, under the same
-//! lease as any share. Other entries borrow there for [`LIFE`] at most and never beyond the
+//! lease as any share. Other entries borrow there for [`LOAN_DURATION`] at most and never beyond the
 //! end of that lease, so that all of it is gone when the leader hands it to somebody else. A
 //! leader that is late or gone for less than the lease is not noticed by who borrows.
 
@@ -12,18 +12,18 @@
 use serde::Serialize;
 
 use super::amount::{Amount, Flow};
-use super::lender::{LIFE, Lender, Supply};
+use super::loan_issuer::{LOAN_DURATION, LoanIssuer, Supply};
 use super::owner::Owner;
 use super::renewals::Renewals;
-use super::{LEASE, PERIOD};
-use crate::pace;
+use super::{LEASE_DURATION, RENEWAL_INTERVAL};
+use crate::leader_calls;
 
 /// Time between two renewals of what is lent. Several fit into a lease.
-const RENEWAL: duration::Span = duration::Span(LEASE.0 / 4);
+const RENEWAL: duration::Span = duration::Span(LEASE_DURATION.0 / 4);
 
 /// Time after which a renewal without an answer is given up. Its lease is good for twice
 /// that, and a renewal that is given up is one more for a leader that is late.
-pub const PATIENCE: duration::Span = duration::Span(LEASE.0 / 2);
+pub const ANSWER_TIMEOUT: duration::Span = duration::Span(LEASE_DURATION.0 / 2);
 
 /// Time kept between the end of a loan and that of the lease it is lent from: clocks of two
 /// instances differ by some hundred millionths.
@@ -36,11 +36,11 @@
 const EXPECTED: duration::Span = duration::Span::from_millis(100);
 
 /// Time after which nothing of an entry that was not heard is awaited any more.
-const FORGOTTEN: duration::Span = duration::Span(LIFE.0 * 4);
+const FORGOTTEN: duration::Span = duration::Span(LOAN_DURATION.0 * 4);
 
 /// What one entry lends of each workspace that the leader chose it for.
 #[derive(Debug)]
-pub struct Lending {
+pub struct Lender {
     instance: id::Instance,
     boot: number::Boot,
     renewals: Renewals,
@@ -74,7 +74,7 @@
     pub until: duration::Instant,
 }
 
-impl Lending {
+impl Lender {
     /// Nothing to lend yet.
     #[must_use]
     pub fn new(instance: id::Instance, boot: number::Boot) -> Self {
@@ -90,12 +90,12 @@
     }
 
     /// Takes over how many entries renew at the same leader.
-    pub fn set_entries(&mut self, entries: usize) {
-        self.gap = pace::gap(entries);
+    pub fn set_entry_count(&mut self, entries: usize) {
+        self.gap = leader_calls::min_interval(entries);
     }
 
     /// Takes over the workspaces whose tokens this entry is to lend.
-    pub fn follow(&mut self, now: duration::Instant, chosen: &[id::Workspace]) {
+    pub fn set_workspaces(&mut self, now: duration::Instant, chosen: &[id::Workspace]) {
         for (workspace, pool) in &mut self.pools {
             pool.chosen = chosen.contains(workspace);
         }
@@ -124,7 +124,7 @@
                 return None;
             }
         }
-        let mut life = LIFE;
+        let mut life = LOAN_DURATION;
         let mut grants = Vec::new();
         for demand in &question.demands {
             let Some(pool) = self.pools.get_mut(&demand.workspace) else {
@@ -156,7 +156,7 @@
 
     /// When the leader is to be asked next.
     #[must_use]
-    pub fn due(&self) -> duration::Instant {
+    pub fn next_renewal_at(&self) -> duration::Instant {
         if self.pools.is_empty() {
             return NEVER;
         }
@@ -164,10 +164,10 @@
             return duration::Instant::default();
         };
         if self.renewals.is_awaited() {
-            return sent.after(PATIENCE);
+            return sent.after(ANSWER_TIMEOUT);
         }
         if self.renewals.has_failed() {
-            return sent.after(PERIOD.max(self.gap));
+            return sent.after(RENEWAL_INTERVAL.max(self.gap));
         }
         let urgent = self.pools.values().any(Pool::is_urgent);
         let span = if urgent {
@@ -179,7 +179,7 @@
     }
 
     /// The renewal to send to the leader now.
-    pub fn renew(&mut self, now: duration::Instant) -> share::Renew {
+    pub fn begin_renewal(&mut self, now: duration::Instant) -> share::Renew {
         let sequence = self.renewals.begin(now);
         self.pools.values_mut().for_each(|pool| pool.advance(now));
         self.pools.retain(|_, pool| !pool.is_done());
@@ -195,7 +195,7 @@
     }
 
     /// Applies the leader's answer; true when it was the awaited one.
-    pub fn granted(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
+    pub fn apply_grants(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
         let Some(sent) = self.renewals.answered(answer.sequence) else {
             return false;
         };
@@ -213,7 +213,7 @@
     }
 
     /// Notes that a renewal got no answer.
-    pub fn failed(&mut self, sequence: number::Sequence) {
+    pub fn fail_renewal(&mut self, sequence: number::Sequence) {
         self.renewals.fail(sequence);
     }
 
@@ -262,7 +262,7 @@
     surplus: Amount,
     /// The share changed and the leader does not know yet that it arrived.
     unconfirmed: bool,
-    lender: Lender,
+    lender: LoanIssuer,
 }
 
 impl Pool {
@@ -294,7 +294,7 @@
     /// Time for which a loan may live.
     fn life(&self, now: duration::Instant) -> duration::Span {
         let left = self.until.since(now);
-        LIFE.min(duration::Span(left.0.saturating_sub(MARGIN.0)))
+        LOAN_DURATION.min(duration::Span(left.0.saturating_sub(MARGIN.0)))
     }
 
     fn lend(
--- a/crates/cranberrygap-policy/src/limits/line.rs
+++ b/crates/cranberrygap-policy/src/limits/line.rs
@@ -23,23 +23,23 @@
 
 /// How long a request waits for its tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct MaxWait {
     /// How long it waits if the leader says that others come first.
     ///
     /// A workspace that asks for more than its rate has requests in line all the time. Its
     /// tokens serve as many whether these wait for long or not; after a long wait each of
     /// them is late, after a short one those that are served are in time.
-    pub in_line: duration::Span,
+    pub in_queue: duration::Span,
     /// How long it waits for the leader's word.
     pub for_leader: duration::Span,
 }
 
-impl Patience {
+impl MaxWait {
     /// The same for both.
     #[must_use]
-    pub const fn of(span: duration::Span) -> Self {
+    pub const fn uniform(span: duration::Span) -> Self {
         Self {
-            in_line: span,
+            in_queue: span,
             for_leader: span,
         }
     }
@@ -101,7 +101,7 @@
         now: duration::Instant,
         ticket: u64,
         cost: Amount,
-        patience: Patience,
+        patience: MaxWait,
     ) {
         self.total = self.total.plus(cost);
         let mut place = self.waiters.len();
@@ -118,7 +118,7 @@
         let waiter = Waiter {
             ticket,
             cost,
-            in_line: now.after(patience.in_line),
+            in_line: now.after(patience.in_queue),
             for_leader: now.after(patience.for_leader),
             stage: Stage::New,
             passed: Amount::ZERO,
--- a/crates/cranberrygap-policy/src/limits/lender.rs
+++ b/crates/cranberrygap-policy/src/limits/loan_issuer.rs
@@ -6,7 +6,7 @@
 //! within their rate would be refused. So the tokens stay in the pool, and the leader
 //! lends them whole to whoever is first in line.
 //!
-//! A loan lives for [`LIFE`] from the sending of the renewal that asked for it. It is
+//! A loan lives for [`LOAN_DURATION`] from the sending of the renewal that asked for it. It is
 //! not in the log: a new leader lends nothing before all loans of its predecessor have
 //! ended. While a loan may live the pool leaves room for it, so that shares, loans and
 //! pool together never hold more than the burst.
@@ -16,18 +16,18 @@
 use cranberrygap_model::{duration, id, number};
 use cranberrygap_wire::share;
 
-use super::PERIOD;
+use super::RENEWAL_INTERVAL;
 use super::amount::{self, Amount, Flow};
 use super::line;
 use super::owner::Owner;
 
 /// Time for which a loan may be spent, counted by its holder from sending the renewal.
 /// Longer than nearly all answers take, short since a new leader waits it out.
-pub const LIFE: duration::Span = duration::Span::from_millis(600);
+pub const LOAN_DURATION: duration::Span = duration::Span::from_millis(600);
 
 /// Time by which the leader counts a loan longer than its holder, whose clock may be
 /// slower by some hundred millionths; a part of the life as with leases.
-const MARGIN: duration::Span = duration::Span(LIFE.0 / 64);
+const MARGIN: duration::Span = duration::Span(LOAN_DURATION.0 / 64);
 
 /// Time after which an entry that asked and was not heard again has left the line. An
 /// entry that waits renews each quarter of a second at least.
@@ -84,7 +84,7 @@
 
 /// Loans of one workspace and the entries that wait for one.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Lender {
+pub(super) struct LoanIssuer {
     asks: VecDeque<Ask>,
     loans: BTreeMap<Owner, VecDeque<Loan>>,
     /// Sum of what is left of the loans.
@@ -131,7 +131,7 @@
 
 /// When all loans of an earlier leader have ended for certain, seen at `now`.
 pub(super) fn cleared(now: duration::Instant) -> duration::Instant {
-    now.after(LIFE).after(MARGIN)
+    now.after(LOAN_DURATION).after(MARGIN)
 }
 
 impl Ask {
@@ -146,7 +146,7 @@
     }
 }
 
-impl Lender {
+impl LoanIssuer {
     /// Forgets loans that nobody can spend any more, and who has left the line.
     pub(super) fn expire(&mut self, now: duration::Instant) {
         if self.due.is_some_and(|due| now >= due) {
@@ -299,7 +299,7 @@
 fn more(demand: &share::Demand, free: Amount, burst: Amount) -> Amount {
     let kept = burst.as_f64() * KEPT_BACK;
     let rich = (free.as_f64() - kept).max(0.0) * AHEAD;
-    let period = demand.rate.0 * PERIOD.as_secs_f64();
+    let period = demand.rate.0 * RENEWAL_INTERVAL.as_secs_f64();
     let useful = if demand.rate.0 >= 1.0 {
         period + demand.usual.0 as f64
     } else {
--- a/crates/cranberrygap-policy/src/limits/stock.rs
+++ b/crates/cranberrygap-policy/src/limits/stock.rs
@@ -3,10 +3,10 @@
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_wire::share;
 
-use super::PERIOD;
+use super::RENEWAL_INTERVAL;
 use super::amount::{self, Amount, Flow};
-use super::lender::LIFE;
 use super::line::{Line, Outlook};
+use super::loan_issuer::LOAN_DURATION;
 use super::loans::Loans;
 use super::room::Room;
 use super::stream::Source;
@@ -171,7 +171,7 @@
         self.unconfirmed = false;
         let returned = std::mem::take(&mut self.surplus).whole();
         let closed = std::mem::take(&mut self.unlent_at_close);
-        let soon = now.after(PERIOD);
+        let soon = now.after(RENEWAL_INTERVAL);
         let unlent = self.loans.hand_back(soon, &Source::Leader).plus(closed);
         let (first, wanted) = self.wants(&Source::Leader, borrows);
         share::Demand {
@@ -236,7 +236,7 @@
         sent: duration::Instant,
         until: duration::Instant,
     ) {
-        self.borrow(now, grant, sent.after(LIFE), &Source::Leader);
+        self.borrow(now, grant, sent.after(LOAN_DURATION), &Source::Leader);
         let cap = Amount::from_count(grant.cap);
         let shrinks = cap < self.cap;
         self.unconfirmed = grant.share != self.share;
--- a/crates/cranberrygap-policy/src/outcome.rs
+++ b/crates/cranberrygap-policy/src/outcome.rs
@@ -50,7 +50,7 @@
     /// back. Only what happens before the first byte, or the endpoint's own
     /// word, proves that it did not run.
     #[must_use]
-    pub const fn of(evidence: Evidence) -> Self {
+    pub const fn from_evidence(evidence: Evidence) -> Self {
         match evidence {
             Evidence::WholeAnswer => Self::Answered,
             Evidence::NeverDispatched | Evidence::ConnectFailed | Evidence::EndpointRefused => {
@@ -67,7 +67,7 @@
     /// The outcome of a request after one more dispatch of it: only if none of
     /// them may have run it, it was not run.
     #[must_use]
-    pub const fn and_then(self, later: Self) -> Self {
+    pub const fn combined_with(self, later: Self) -> Self {
         match (self, later) {
             (Self::Answered, _) | (_, Self::Answered) => Self::Answered,
             (Self::NotRun, Self::NotRun) => Self::NotRun,
--- a/crates/cranberrygap-policy/src/quarantine/probe.rs
+++ b/crates/cranberrygap-policy/src/quarantine/permission.rs
@@ -8,7 +8,7 @@
 
 /// Time that a leave holds without being renewed, counted by the entry from
 /// asking. A suspect that runs longer renews.
-pub const LEASE: duration::Span = duration::Span::from_secs(5);
+pub const LEASE_DURATION: duration::Span = duration::Span::from_secs(5);
 
 /// Time beyond the lease for which the leader keeps an endpoint to one suspect.
 const MARGIN: duration::Span = duration::Span::from_millis(100);
@@ -21,14 +21,14 @@
 /// has one name.
 #[derive(Debug, Default)]
 pub struct Table {
-    held: BTreeMap<id::Endpoint, Leave>,
+    held: BTreeMap<id::Endpoint, Permission>,
     /// Nothing is granted before; a predecessor's leaves may still hold.
     opens: duration::Instant,
 }
 
 /// One suspect's right to run on one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Leave {
+pub struct Permission {
     /// The request.
     pub fingerprint: SmolStr,
     /// The entry that sends it.
@@ -45,18 +45,23 @@
     pub fn new(now: duration::Instant) -> Self {
         Self {
             held: BTreeMap::new(),
-            opens: now.after(LEASE).after(MARGIN),
+            opens: now.after(LEASE_DURATION).after(MARGIN),
         }
     }
 
     /// Gives or renews a leave; false while another suspect has the endpoint or
     /// this suspect runs elsewhere.
-    pub fn ask(&mut self, now: duration::Instant, endpoint: &id::Endpoint, wanted: &Leave) -> bool {
+    pub fn try_grant(
+        &mut self,
+        now: duration::Instant,
+        endpoint: &id::Endpoint,
+        wanted: &Permission,
+    ) -> bool {
         self.held.retain(|_, leave| now < leave.until);
         if now < self.opens {
             return false;
         }
-        let same = |leave: &Leave| {
+        let same = |leave: &Permission| {
             (&leave.fingerprint, &leave.instance, leave.boot)
                 == (&wanted.fingerprint, &wanted.instance, wanted.boot)
         };
@@ -68,8 +73,8 @@
         if taken || elsewhere {
             return false;
         }
-        let until = now.after(LEASE).after(MARGIN);
-        let leave = Leave {
+        let until = now.after(LEASE_DURATION).after(MARGIN);
+        let leave = Permission {
             until,
             ..wanted.clone()
         };
@@ -78,7 +83,7 @@
     }
 
     /// Ends a leave early, when the suspect has ended.
-    pub fn end(&mut self, endpoint: &id::Endpoint, wanted: &Leave) {
+    pub fn release(&mut self, endpoint: &id::Endpoint, wanted: &Permission) {
         let same = self.held.get(endpoint).is_some_and(|leave| {
             leave.fingerprint == wanted.fingerprint && leave.boot == wanted.boot
         });
@@ -89,7 +94,7 @@
 
     /// All leaves, for a dump.
     #[must_use]
-    pub fn dump(&self) -> BTreeMap<id::Endpoint, Leave> {
+    pub fn dump(&self) -> BTreeMap<id::Endpoint, Permission> {
         self.held.clone()
     }
 }
--- a/crates/cranberrygap-policy/src/quarantine/watch.rs
+++ b/crates/cranberrygap-policy/src/quarantine/suspects.rs
@@ -16,7 +16,7 @@
 
 /// One life of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Place {
+pub struct Incarnation {
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// Its boot.
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
     /// Which one.
-    pub place: Place,
+    pub incarnation: Incarnation,
     /// Fingerprints of what ran there from this entry.
     pub fingerprints: Vec<SmolStr>,
     /// The suspect that ran there by the leader's leave.
@@ -40,36 +40,36 @@
     /// This life of the endpoint is over.
     Dead,
     /// The request is suspect, and so is another one that runs there.
-    Shared,
+    OtherSuspect,
 }
 
 /// What runs where, and who is suspected.
 #[derive(Debug, Default)]
-pub struct Watch {
-    running: BTreeMap<Place, BTreeMap<u64, SmolStr>>,
-    dead: BTreeMap<Place, duration::Instant>,
-    leases: BTreeMap<Place, (SmolStr, duration::Instant)>,
+pub struct Tracker {
+    running: BTreeMap<Incarnation, BTreeMap<u64, SmolStr>>,
+    dead: BTreeMap<Incarnation, duration::Instant>,
+    leases: BTreeMap<Incarnation, (SmolStr, duration::Instant)>,
     suspects: BTreeMap<SmolStr, duration::Instant>,
     next: u64,
 }
 
-impl Watch {
-    /// Notes that a request runs from now on; the number is for [`Watch::ended`].
+impl Tracker {
+    /// Notes that a request runs from now on; the number is for [`Tracker::finish_request`].
     ///
     /// # Errors
     ///
     /// Why it must not be sent there.
-    pub fn start(
+    pub fn start_request(
         &mut self,
         now: duration::Instant,
-        place: &Place,
+        place: &Incarnation,
         fingerprint: &SmolStr,
     ) -> Result<u64, Denial> {
         if self.dead.contains_key(place) {
             return Err(Denial::Dead);
         }
         if self.is_suspect(now, fingerprint) && self.has_other_suspect(now, place, fingerprint) {
-            return Err(Denial::Shared);
+            return Err(Denial::OtherSuspect);
         }
         self.next += 1;
         self.running
@@ -83,7 +83,7 @@
     /// was answered whole is innocent, since a culprit crashes every endpoint.
     ///
     /// True if it was suspected.
-    pub fn ended(&mut self, place: &Place, number: u64, answered: bool) -> bool {
+    pub fn finish_request(&mut self, place: &Incarnation, number: u64, answered: bool) -> bool {
         let Some(requests) = self.running.get_mut(place) else {
             return false;
         };
@@ -102,7 +102,7 @@
     ///
     /// A broken connection alone is no evidence; something on the way may have
     /// cut it, and innocents would be suspected.
-    pub fn died(&mut self, now: duration::Instant, place: &Place) -> Option<Crash> {
+    pub fn record_death(&mut self, now: duration::Instant, place: &Incarnation) -> Option<Crash> {
         let requests = self.running.remove(place)?;
         self.dead.insert(place.clone(), now);
         let fingerprints: BTreeSet<SmolStr> = requests.into_values().collect();
@@ -115,7 +115,7 @@
             .filter(|(_, until)| now < *until)
             .map(|(probed, _)| probed);
         Some(Crash {
-            place: place.clone(),
+            incarnation: place.clone(),
             probed,
             fingerprints: fingerprints.into_iter().collect(),
         })
@@ -123,11 +123,13 @@
 
     /// Notes the boot with which an endpoint announces itself now; gives the
     /// crash of an earlier one.
-    pub fn booted(&mut self, now: duration::Instant, place: &Place) -> Vec<Crash> {
+    pub fn record_boot(&mut self, now: duration::Instant, place: &Incarnation) -> Vec<Crash> {
         let is_earlier =
-            |other: &&Place| other.endpoint == place.endpoint && other.boot != place.boot;
-        let earlier: Vec<Place> = self.running.keys().filter(is_earlier).cloned().collect();
-        let crashes = earlier.iter().filter_map(|place| self.died(now, place));
+            |other: &&Incarnation| other.endpoint == place.endpoint && other.boot != place.boot;
+        let earlier: Vec<Incarnation> = self.running.keys().filter(is_earlier).cloned().collect();
+        let crashes = earlier
+            .iter()
+            .filter_map(|place| self.record_death(now, place));
         crashes.collect()
     }
 
@@ -139,13 +141,18 @@
     }
 
     /// Notes that the leader lets a suspect run there until then, and no other.
-    pub fn lease(&mut self, place: &Place, fingerprint: &SmolStr, until: duration::Instant) {
+    pub fn hold_permission(
+        &mut self,
+        place: &Incarnation,
+        fingerprint: &SmolStr,
+        until: duration::Instant,
+    ) {
         self.leases
             .insert(place.clone(), (fingerprint.clone(), until));
     }
 
     /// Notes that a suspect runs there no longer.
-    pub fn release(&mut self, place: &Place, fingerprint: &str) {
+    pub fn release_permission(&mut self, place: &Incarnation, fingerprint: &str) {
         let held = self.leases.get(place);
         if held.is_some_and(|(holder, _)| holder == fingerprint) {
             self.leases.remove(place);
@@ -153,7 +160,7 @@
     }
 
     /// Notes that another entry's crash made these suspect.
-    pub fn suspect(&mut self, now: duration::Instant, fingerprints: &[SmolStr]) {
+    pub fn add_suspects(&mut self, now: duration::Instant, fingerprints: &[SmolStr]) {
         for fingerprint in fingerprints {
             self.suspects.insert(fingerprint.clone(), now);
         }
@@ -162,17 +169,22 @@
 
     /// Whether this life of the endpoint is known to be over.
     #[must_use]
-    pub fn is_dead(&self, place: &Place) -> bool {
+    pub fn is_dead(&self, place: &Incarnation) -> bool {
         self.dead.contains_key(place)
     }
 
     /// Number of suspects, for a dump.
     #[must_use]
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    fn has_other_suspect(&self, now: duration::Instant, place: &Place, fingerprint: &str) -> bool {
+    fn has_other_suspect(
+        &self,
+        now: duration::Instant,
+        place: &Incarnation,
+        fingerprint: &str,
+    ) -> bool {
         let mut running = self.running.get(place).into_iter().flatten();
         running.any(|(_, other)| other != fingerprint && self.is_suspect(now, other))
     }
--- a/crates/cranberrygap-policy/src/reserve.rs
+++ b/crates/cranberrygap-policy/src/resend.rs
@@ -22,11 +22,11 @@
 
 /// What is left for each service.
 #[derive(Debug, Default)]
-pub struct Reserve {
+pub struct Budget {
     saved: BTreeMap<id::Service, f64>,
 }
 
-impl Reserve {
+impl Budget {
     /// A request for a service arrived at one of `entries`.
     pub fn earn(&mut self, service: &id::Service, entries: usize) {
         // Without a bound that falls with the number of entries, a large fleet that has
--- a/crates/cranberrygap-policy/src/retry.rs
+++ b/crates/cranberrygap-policy/src/retry.rs
@@ -29,14 +29,14 @@
     /// It may be repeated.
     Idempotent,
     /// It must run at most once.
-    Once,
+    AtMostOnce,
 }
 
 /// What to do after a dispatch that was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// Send it again after this time.
-    Again(duration::Span),
+    Retry(duration::Span),
     /// Give the final answer now.
     GiveUp(Reason),
 }
@@ -47,11 +47,11 @@
     /// It may have run and must not run twice.
     MayHaveRun,
     /// It was dispatched as often as is allowed.
-    Attempts,
+    AttemptsExhausted,
     /// Too large a share of the traffic are retries already.
-    Budget,
+    BudgetExhausted,
     /// The deadline would pass before.
-    Deadline,
+    DeadlineExceeded,
 }
 
 /// One request's position.
@@ -60,7 +60,7 @@
     /// Whether it may run more than once.
     pub class: Class,
     /// Dispatches so far.
-    pub number: u32,
+    pub dispatches: u32,
     /// What is known of all of them together.
     pub outcome: Outcome,
     /// When the request must be answered.
@@ -103,7 +103,7 @@
     }
 
     /// Counts a request, which earns its share of a retry.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.saved = (self.saved + self.share).min(MOST_SAVED);
     }
 
@@ -115,21 +115,21 @@
         attempt: Attempt,
         random: &mut impl Rng,
     ) -> Decision {
-        if attempt.class == Class::Once && attempt.outcome != Outcome::NotRun {
+        if attempt.class == Class::AtMostOnce && attempt.outcome != Outcome::NotRun {
             return Decision::GiveUp(Reason::MayHaveRun);
         }
-        if attempt.number >= MOST_ATTEMPTS {
-            return Decision::GiveUp(Reason::Attempts);
+        if attempt.dispatches >= MOST_ATTEMPTS {
+            return Decision::GiveUp(Reason::AttemptsExhausted);
         }
-        let wait = wait(attempt.number, random);
+        let wait = wait(attempt.dispatches, random);
         if now.after(wait) >= attempt.deadline {
-            return Decision::GiveUp(Reason::Deadline);
+            return Decision::GiveUp(Reason::DeadlineExceeded);
         }
         if self.saved < RETRY {
-            return Decision::GiveUp(Reason::Budget);
+            return Decision::GiveUp(Reason::BudgetExhausted);
         }
         self.saved -= RETRY;
-        Decision::Again(wait)
+        Decision::Retry(wait)
     }
 
     /// Whole retries that are saved up.
@@ -140,8 +140,8 @@
 }
 
 /// Full jitter: requests that failed together do not come back together.
-fn wait(number: u32, random: &mut impl Rng) -> duration::Span {
-    let doublings = number.saturating_sub(1).min(16);
+fn wait(dispatches: u32, random: &mut impl Rng) -> duration::Span {
+    let doublings = dispatches.saturating_sub(1).min(16);
     let longest = (FIRST_WAIT.0 << doublings).min(LONGEST_WAIT.0);
     duration::Span(random.random_range(0..=longest))
 }
--- a/crates/cranberrygap-policy/src/stream.rs
+++ b/crates/cranberrygap-policy/src/stream.rs
@@ -66,7 +66,7 @@
     /// An attempt that was given up may still send: the engine was only slow, or
     /// its connection comes back to life. Its tokens would stand twice in the
     /// answer. Only events of the current attempt are delivered.
-    pub fn take(&mut self, attempt: &id::Attempt, event: Event) -> Decision {
+    pub fn accept(&mut self, attempt: &id::Attempt, event: Event) -> Decision {
         if *attempt != self.attempt || self.is_ended() {
             return Decision::Skip;
         }
--- a/crates/cranberrygap-policy/tests/fair_queues.rs
+++ b/crates/cranberrygap-policy/tests/fair_queues.rs
@@ -151,7 +151,7 @@
     let mut queue = Queue::new(10);
     queue.push(at(0), request(1, "a"));
     let first = queue.pop(at(0)).expect("one waits");
-    queue.settle(&first, token::Count(10));
+    queue.correct_charge(&first, token::Count(10));
 
     let charged = queue.dump().counters[&workspace("a")];
 
--- a/crates/cranberrygap-policy/tests/limits_lending.rs
+++ b/crates/cranberrygap-policy/tests/limits_lending.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id, number, token};
-use cranberrygap_policy::limits::{self, appointment, granter, holder, lending};
+use cranberrygap_policy::limits::{self, assignment, granter, holder, lending};
 
 const BURST: u64 = 100_000;
 
@@ -26,13 +26,13 @@
         burst: token::Count(BURST),
     };
     granter.configure(at(0), &workspace(), limit, granter::Origin::Added);
-    granter.set_delegate(&workspace(), Some(&name("lender")));
+    granter.set_lender(&workspace(), Some(&name("lender")));
     granter
 }
 
-fn lender() -> lending::Lending {
-    let mut lending = lending::Lending::new(name("lender"), number::Boot(1));
-    lending.follow(at(0), &[workspace()]);
+fn lender() -> lending::Lender {
+    let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
+    lending.set_workspaces(at(0), &[workspace()]);
     lending
 }
 
@@ -43,18 +43,18 @@
     holder
 }
 
-fn renew(lending: &mut lending::Lending, granter: &mut granter::Granter, now: duration::Instant) {
-    let renewal = lending.renew(now);
+fn renew(lending: &mut lending::Lender, granter: &mut granter::Granter, now: duration::Instant) {
+    let renewal = lending.begin_renewal(now);
     let answer = granter
         .renew(now, &renewal)
         .expect("renewals come in order");
-    assert!(lending.granted(now, &answer.granted));
+    assert!(lending.apply_grants(now, &answer.granted));
 }
 
 fn request(holder: &mut holder::Holder, now: duration::Instant, cost: u64) -> bool {
-    let patience = holder::Patience::of(duration::Span::from_millis(500));
+    let patience = holder::MaxWait::uniform(duration::Span::from_millis(500));
     let verdict = holder.admit(now, &workspace(), token::Count(cost), patience);
-    matches!(verdict, holder::Verdict::Admitted(_))
+    matches!(verdict, holder::Admission::Admitted(_))
 }
 
 /// A request whose tokens are not there.
@@ -65,15 +65,15 @@
 /// Sends all questions that are due; gives how many requests were admitted then.
 fn borrow(
     holder: &mut holder::Holder,
-    lending: &mut lending::Lending,
+    lending: &mut lending::Lender,
     now: duration::Instant,
 ) -> usize {
-    for (to, question) in holder.ask(now) {
+    for (to, question) in holder.due_loan_requests(now) {
         assert_eq!(to, name("lender"));
         let answer = lending
             .answer(now, &question)
             .expect("questions come in order");
-        holder.lent(now, &to, &answer);
+        holder.apply_loans(now, &to, &answer);
     }
     let decisions = holder.poll(now).into_iter();
     decisions
@@ -101,29 +101,33 @@
 fn leader_is_not_asked_for_what_an_entry_lends() {
     let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
     renew(&mut lending, &mut granter, at(0));
-    let renewal = holder.renew(at(0));
+    let renewal = holder.begin_renewal(at(0));
     let answer = granter
         .renew(at(0), &renewal)
         .expect("renewals come in order");
-    holder.granted(at(0), &answer.granted);
+    holder.apply_grants(at(0), &answer.granted);
 
     ask(&mut holder, at(100), 2_000);
 
-    assert!(holder.due() > at(500), "due at {}", holder.due());
-    assert_eq!(holder.asks_at(), Some(at(0)));
+    assert!(
+        holder.next_renewal_at() > at(500),
+        "due at {}",
+        holder.next_renewal_at()
+    );
+    assert_eq!(holder.next_loan_request_at(), Some(at(0)));
 }
 
 // An idle entry must not take up the leader's time.
 #[test]
 fn entry_without_demand_renews_nothing() {
     let (mut granter, mut holder) = (leader(), entry("a"));
-    let renewal = holder.renew(at(0));
+    let renewal = holder.begin_renewal(at(0));
     let answer = granter
         .renew(at(0), &renewal)
         .expect("renewals come in order");
-    holder.granted(at(0), &answer.granted);
+    holder.apply_grants(at(0), &answer.granted);
 
-    assert!(holder.due() > at(3_600_000));
+    assert!(holder.next_renewal_at() > at(3_600_000));
 }
 
 // A share that was closed must not go on being renewed as if it were one.
@@ -132,11 +136,11 @@
     let (mut granter, mut holder) = (leader(), entry("a"));
     for millis in (0..3_000).step_by(50) {
         request(&mut holder, at(millis), 10);
-        let renewal = holder.renew(at(millis));
+        let renewal = holder.begin_renewal(at(millis));
         let answer = granter
             .renew(at(millis), &renewal)
             .expect("renewals come in order");
-        holder.granted(at(millis), &answer.granted);
+        holder.apply_grants(at(millis), &answer.granted);
     }
     let had_a_share = holder.dump()[0].cap.0 > 0;
 
@@ -148,18 +152,22 @@
     for millis in (3_000..9_000).step_by(500) {
         for other in others.iter_mut().chain([&mut holder]) {
             request(other, at(millis), 3_000);
-            let renewal = other.renew(at(millis));
+            let renewal = other.begin_renewal(at(millis));
             let answer = granter
                 .renew(at(millis), &renewal)
                 .expect("renewals come in order");
-            other.granted(at(millis), &answer.granted);
+            other.apply_grants(at(millis), &answer.granted);
             other.poll(at(millis));
         }
     }
 
     assert!(had_a_share);
     assert_eq!(holder.dump()[0].cap.0, 0);
-    assert!(holder.due() >= at(8_500 + 1_000), "due at {}", holder.due());
+    assert!(
+        holder.next_renewal_at() >= at(8_500 + 1_000),
+        "due at {}",
+        holder.next_renewal_at()
+    );
 }
 
 // An entry whose lease has run out must not lend: the leader may have given its tokens away.
@@ -180,7 +188,7 @@
     let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
     renew(&mut lending, &mut granter, at(0));
     ask(&mut holder, at(2_700), 2_000);
-    let question = holder.ask(at(2_700)).remove(0).1;
+    let question = holder.due_loan_requests(at(2_700)).remove(0).1;
 
     let answer = lending
         .answer(at(2_700), &question)
@@ -196,8 +204,8 @@
     let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
     renew(&mut lending, &mut granter, at(0));
     ask(&mut holder, at(100), 2_000);
-    let first = holder.ask(at(100)).remove(0).1;
-    let again = holder.ask(at(130)).remove(0).1;
+    let first = holder.due_loan_requests(at(100)).remove(0).1;
+    let again = holder.due_loan_requests(at(130)).remove(0).1;
 
     let one = lending.answer(at(101), &first).expect("it is the first");
     let before = lending.dump()[0].level;
@@ -216,10 +224,10 @@
     renew(&mut lending, &mut granter, at(0));
     ask(&mut holder, at(100), 60_000);
     borrow(&mut holder, &mut lending, at(100));
-    let mut next = lending::Lending::new(name("next"), number::Boot(2));
-    next.follow(at(110), &[workspace()]);
-    granter.set_delegate(&workspace(), Some(&name("next")));
-    lending.follow(at(110), &[]);
+    let mut next = lending::Lender::new(name("next"), number::Boot(2));
+    next.set_workspaces(at(110), &[workspace()]);
+    granter.set_lender(&workspace(), Some(&name("next")));
+    lending.set_workspaces(at(110), &[]);
 
     renew(&mut lending, &mut granter, at(120));
     renew(&mut lending, &mut granter, at(130));
@@ -237,7 +245,7 @@
 #[test]
 fn new_leader_counts_what_an_entry_lends() {
     let (mut granter, mut lending) = (leader(), lender());
-    let renewal = lending.renew(at(0));
+    let renewal = lending.begin_renewal(at(0));
     let answer = granter
         .renew(at(0), &renewal)
         .expect("renewals come in order");
@@ -247,26 +255,26 @@
     };
     let known = BTreeMap::from([(workspace(), limit)]);
 
-    let successor = granter::Granter::new(at(500), number::Term(2), &known, &answer.records);
+    let successor = granter::Granter::new(at(500), number::Term(2), &known, &answer.allocations);
 
     let dump = &successor.dump()[0];
     assert_eq!(dump.cap.0, BURST);
     assert_eq!(dump.pool.0, 0);
-    assert!(successor.lends(&workspace(), &name("lender")));
+    assert!(successor.is_lender(&workspace(), &name("lender")));
 }
 
 // A lender that does not answer must not keep requests from the leader.
 #[test]
 fn leader_is_asked_when_the_lender_is_silent() {
     let mut holder = entry("a");
-    let idle = holder.renew(at(0));
-    holder.failed(idle.sequence);
+    let idle = holder.begin_renewal(at(0));
+    holder.fail_renewal(idle.sequence);
     ask(&mut holder, at(1_000), 2_000);
 
     for millis in 1_000..1_200 {
-        holder.ask(at(millis));
+        holder.due_loan_requests(at(millis));
     }
-    let renewal = holder.renew(at(1_200));
+    let renewal = holder.begin_renewal(at(1_200));
 
     assert_eq!(renewal.demands[0].first.0, 2_000);
 }
@@ -276,17 +284,17 @@
 fn restarted_lender_lends_again_before_the_old_lease_ends() {
     let (mut granter, mut lending) = (leader(), lender());
     renew(&mut lending, &mut granter, at(0));
-    let mut restarted = lending::Lending::new(name("lender"), number::Boot(2));
-    restarted.follow(at(300), &[workspace()]);
+    let mut restarted = lending::Lender::new(name("lender"), number::Boot(2));
+    restarted.set_workspaces(at(300), &[workspace()]);
 
-    granter.ended(at(300), &name("lender"), number::Boot(1));
+    granter.record_process_end(at(300), &name("lender"), number::Boot(1));
     granter.expire(at(1_000));
     renew(&mut restarted, &mut granter, at(1_000));
 
     assert_eq!(restarted.dump()[0].cap.0, BURST);
 }
 
-fn candidates(names: &[&str]) -> appointment::Candidates {
+fn candidates(names: &[&str]) -> assignment::Candidates {
     names.iter().map(|text| (name(text), true)).collect()
 }
 
@@ -297,9 +305,9 @@
     let workspaces = [workspace()];
 
     let fit = candidates(&["a", "b", "c"]);
-    let stays = appointment::changes(workspaces.iter(), &chosen, &fit, |_| false);
-    let gone = appointment::changes(workspaces.iter(), &chosen, &candidates(&["a"]), |_| false);
-    let lost = appointment::changes(workspaces.iter(), &chosen, &fit, |_| true);
+    let stays = assignment::changes(workspaces.iter(), &chosen, &fit, |_| false);
+    let gone = assignment::changes(workspaces.iter(), &chosen, &candidates(&["a"]), |_| false);
+    let lost = assignment::changes(workspaces.iter(), &chosen, &fit, |_| true);
 
     assert!(stays.is_empty());
     assert_eq!(gone[0].instance, Some(name("a")));
@@ -314,7 +322,7 @@
         .collect();
     let fit = candidates(&["a", "b", "c", "d"]);
 
-    let chosen = appointment::changes(workspaces.iter(), &BTreeMap::new(), &fit, |_| false);
+    let chosen = assignment::changes(workspaces.iter(), &BTreeMap::new(), &fit, |_| false);
 
     for instance in fit.keys() {
         let lent = chosen
--- a/crates/cranberrygap-policy/tests/limits_many_workspaces.rs
+++ b/crates/cranberrygap-policy/tests/limits_many_workspaces.rs
@@ -33,7 +33,7 @@
     };
     for workspace in workspaces {
         granter.configure(at(0), workspace, limit, granter::Origin::Added);
-        granter.set_delegate(workspace, Some(&lender_name()));
+        granter.set_lender(workspace, Some(&lender_name()));
     }
     granter
 }
@@ -42,39 +42,39 @@
 /// were admitted, in a fleet whose links and processes are all sound.
 fn admitted(workspaces: &[id::Workspace]) -> BTreeMap<id::Workspace, usize> {
     let mut granter = leader(workspaces);
-    let mut lending = lending::Lending::new(lender_name(), number::Boot(1));
-    lending.follow(at(0), workspaces);
+    let mut lending = lending::Lender::new(lender_name(), number::Boot(1));
+    lending.set_workspaces(at(0), workspaces);
     let mut holder = holder::Holder::new("a".parse().expect("a valid name"), number::Boot(7));
     let lenders = workspaces.iter().cloned();
     let lenders: BTreeMap<_, _> = lenders.map(|name| (name, lender_name())).collect();
     holder.set_lenders(at(0), &lenders);
-    let patience = holder::Patience::of(duration::Span::from_millis(1_000));
+    let patience = holder::MaxWait::uniform(duration::Span::from_millis(1_000));
     let names = workspaces.iter().cloned();
     let mut admitted: BTreeMap<_, usize> = names.map(|name| (name, 0)).collect();
     let mut tickets: BTreeMap<u64, id::Workspace> = BTreeMap::new();
     for millis in (0..END).step_by(5) {
         let now = at(millis);
-        if lending.due() <= now {
-            let renewal = lending.renew(now);
+        if lending.next_renewal_at() <= now {
+            let renewal = lending.begin_renewal(now);
             let answer = granter.renew(now, &renewal).expect("in order");
-            lending.granted(now, &answer.granted);
+            lending.apply_grants(now, &answer.granted);
         }
         if millis % PERIOD == 0 {
             for workspace in workspaces.iter().cloned() {
                 match holder.admit(now, &workspace, token::Count(COST), patience) {
-                    holder::Verdict::Admitted(_) => *admitted.entry(workspace).or_default() += 1,
-                    holder::Verdict::Waiting(ticket) => drop(tickets.insert(ticket, workspace)),
+                    holder::Admission::Admitted(_) => *admitted.entry(workspace).or_default() += 1,
+                    holder::Admission::Queued(ticket) => drop(tickets.insert(ticket, workspace)),
                 }
             }
         }
-        for (to, question) in holder.ask(now) {
+        for (to, question) in holder.due_loan_requests(now) {
             let answer = lending.answer(now, &question).expect("in order");
-            holder.lent(now, &to, &answer);
+            holder.apply_loans(now, &to, &answer);
         }
-        if holder.due() <= now {
-            let renewal = holder.renew(now);
+        if holder.next_renewal_at() <= now {
+            let renewal = holder.begin_renewal(now);
             let answer = granter.renew(now, &renewal).expect("in order");
-            holder.granted(now, &answer.granted);
+            holder.apply_grants(now, &answer.granted);
         }
         for (ticket, decision) in holder.poll(now) {
             if let (Some(workspace), holder::Decision::Admitted(_)) =
--- a/crates/cranberrygap-policy/tests/limits_shares.rs
+++ b/crates/cranberrygap-policy/tests/limits_shares.rs
@@ -31,15 +31,15 @@
     holder::Holder::new(name.parse().expect("a valid name"), number::Boot(7))
 }
 
-fn ask(holder: &mut holder::Holder, now: duration::Instant, cost: u64) -> holder::Verdict {
-    let patience = holder::Patience::of(duration::Span::from_millis(500));
+fn ask(holder: &mut holder::Holder, now: duration::Instant, cost: u64) -> holder::Admission {
+    let patience = holder::MaxWait::uniform(duration::Span::from_millis(500));
     holder.admit(now, &workspace(), token::Count(cost), patience)
 }
 
 fn renew(holder: &mut holder::Holder, granter: &mut granter::Granter, now: duration::Instant) {
-    let renew = holder.renew(now);
+    let renew = holder.begin_renewal(now);
     let answer = granter.renew(now, &renew).expect("the renewal is in order");
-    assert!(holder.granted(now, &answer.granted));
+    assert!(holder.apply_grants(now, &answer.granted));
 }
 
 fn reservation(decisions: Vec<(u64, holder::Decision)>) -> holder::Reservation {
@@ -60,12 +60,12 @@
     let mut logged = Vec::new();
     for millis in (0..3_000).step_by(step) {
         ask(holder, at(millis), cost);
-        let renewal = holder.renew(at(millis));
+        let renewal = holder.begin_renewal(at(millis));
         let answer = granter
             .renew(at(millis), &renewal)
             .expect("the renewal is in order");
-        logged.extend(answer.records);
-        holder.granted(at(millis), &answer.granted);
+        logged.extend(answer.allocations);
+        holder.apply_grants(at(millis), &answer.granted);
         holder.poll(at(millis));
     }
     logged
@@ -87,7 +87,7 @@
     renew(&mut holder, &mut granter, at(0));
     let decisions = holder.poll(at(0));
 
-    assert!(matches!(verdict, holder::Verdict::Waiting(_)));
+    assert!(matches!(verdict, holder::Admission::Queued(_)));
     reservation(decisions);
 }
 
@@ -125,7 +125,7 @@
         holder.poll(at(millis));
     }
 
-    holder.settle(at(8_000), &reservation, token::Count(0));
+    holder.close_reservation(at(8_000), &reservation, token::Count(0));
 
     let dump = holder.dump();
     let held = dump[0].level.0 + granter.dump()[0].pool.0;
@@ -138,22 +138,22 @@
 fn late_answer_is_dropped() {
     let (mut granter, mut holder) = (leader(), entry("a"));
     ask(&mut holder, at(0), 100);
-    let first = holder.renew(at(0));
+    let first = holder.begin_renewal(at(0));
     let late = granter.renew(at(1), &first).unwrap().granted;
-    holder.renew(at(800));
+    holder.begin_renewal(at(800));
 
-    let taken = holder.granted(at(801), &late);
+    let taken = holder.apply_grants(at(801), &late);
 
     assert!(!taken);
     let verdict = ask(&mut holder, at(801), 1);
-    assert!(matches!(verdict, holder::Verdict::Waiting(_)));
+    assert!(matches!(verdict, holder::Admission::Queued(_)));
 }
 
 #[test]
 fn delayed_renewal_gets_no_answer() {
     let (mut granter, mut holder) = (leader(), entry("a"));
-    let first = holder.renew(at(0));
-    let second = holder.renew(at(800));
+    let first = holder.begin_renewal(at(0));
+    let second = holder.begin_renewal(at(800));
     granter.renew(at(801), &second).unwrap();
 
     let answer = granter.renew(at(802), &first);
@@ -167,15 +167,15 @@
 fn cut_off_entry_stops_before_its_share_is_given_away() {
     let (mut granter, mut holder) = (leader(), entry("a"));
     share_by_demand(&mut holder, &mut granter);
-    let lease = 2_950 + limits::LEASE.0 / 1_000;
+    let lease = 2_950 + limits::LEASE_DURATION.0 / 1_000;
 
     let just_before = ask(&mut holder, at(lease - 1), 1);
     let freed_early = granter.expire(at(lease));
     let after = ask(&mut holder, at(lease), 1);
     let freed = granter.expire(at(lease + 100));
 
-    assert!(matches!(just_before, holder::Verdict::Admitted(_)));
-    assert!(matches!(after, holder::Verdict::Waiting(_)));
+    assert!(matches!(just_before, holder::Admission::Admitted(_)));
+    assert!(matches!(after, holder::Admission::Queued(_)));
     assert!(freed_early.is_empty(), "{freed_early:?}");
     assert_eq!(freed.len(), 1);
     assert_eq!(freed[0].cap, token::Count(0));
@@ -205,9 +205,9 @@
 fn new_leader_lends_nothing_while_an_old_loan_may_live() {
     let (mut old, mut holder) = (leader(), entry("a"));
     ask(&mut holder, at(0), 4_000);
-    let renewal = holder.renew(at(0));
+    let renewal = holder.begin_renewal(at(0));
     let answer = old.renew(at(0), &renewal).unwrap();
-    assert!(answer.records.is_empty(), "{answer:?}");
+    assert!(answer.allocations.is_empty(), "{answer:?}");
     let answer = answer.granted;
     let known = BTreeMap::from([(workspace(), limit())]);
     let mut new = granter::Granter::new(at(10), number::Term(2), &known, &[]);
@@ -216,7 +216,7 @@
     ask(&mut other, at(400), 500);
     renew(&mut other, &mut new, at(400));
     let lent_early = other.dump()[0].level;
-    holder.granted(at(450), &answer);
+    holder.apply_grants(at(450), &answer);
     let old_loan = reservation(holder.poll(at(450)));
     ask(&mut other, at(1_200), 500);
     renew(&mut other, &mut new, at(1_200));
@@ -250,11 +250,11 @@
     let (mut granter, mut holder) = (leader(), entry("a"));
     ask(&mut holder, at(0), 3_000);
     renew(&mut holder, &mut granter, at(0));
-    holder.abandon(1);
+    holder.cancel(1);
 
     let late = ask(&mut holder, at(1_000), 100);
 
-    assert!(matches!(late, holder::Verdict::Waiting(_)));
+    assert!(matches!(late, holder::Admission::Queued(_)));
 }
 
 // A workspace asks for more than its rate, and the leader says that it will take a second.
@@ -262,8 +262,8 @@
 // anything, nobody knows that others come first, and the request waits on.
 #[test]
 fn request_waits_longer_for_the_leader_than_behind_others() {
-    let patience = holder::Patience {
-        in_line: duration::Span::from_millis(100),
+    let patience = holder::MaxWait {
+        in_queue: duration::Span::from_millis(100),
         for_leader: duration::Span::from_secs(4),
     };
     let (mut granter, mut holder) = (leader(), entry("a"));
@@ -289,7 +289,7 @@
     let before = granter.dump()[0].pool;
 
     holder.close(at(10));
-    let last = holder.renew(at(10));
+    let last = holder.begin_renewal(at(10));
     granter.renew(at(10), &last).unwrap();
 
     let after = granter.dump()[0].pool;
@@ -319,9 +319,9 @@
     ask(&mut holder, at(0), 4_000);
     renew(&mut holder, &mut granter, at(0));
     let whole = reservation(holder.poll(at(0)));
-    holder.settle(at(10), &whole, token::Count(900));
+    holder.close_reservation(at(10), &whole, token::Count(900));
     let large = ask(&mut holder, at(20), 3_200);
-    assert!(matches!(large, holder::Verdict::Waiting(_)));
+    assert!(matches!(large, holder::Admission::Queued(_)));
     (granter, holder)
 }
 
@@ -334,8 +334,8 @@
     let small = ask(&mut holder, at(30), 20);
     let medium = ask(&mut holder, at(30), 1_100);
 
-    assert!(matches!(small, holder::Verdict::Admitted(_)), "{small:?}");
-    assert!(matches!(medium, holder::Verdict::Waiting(_)), "{medium:?}");
+    assert!(matches!(small, holder::Admission::Admitted(_)), "{small:?}");
+    assert!(matches!(medium, holder::Admission::Queued(_)), "{medium:?}");
 }
 
 // Small requests come without end. Went all of them first, they would spend what a large
@@ -345,14 +345,14 @@
     let (mut granter, mut holder) = entry_with_a_large_request_in_line();
     let mut passed = 0;
 
-    let minute = holder::Patience::of(duration::Span::from_secs(60));
+    let minute = holder::MaxWait::uniform(duration::Span::from_secs(60));
     for turn in 0..400 {
         let now = at(30 + turn * 10);
         if turn % 20 == 0 {
             renew(&mut holder, &mut granter, now);
         }
         let verdict = holder.admit(now, &workspace(), token::Count(40), minute);
-        passed += u64::from(matches!(verdict, holder::Verdict::Admitted(_)));
+        passed += u64::from(matches!(verdict, holder::Admission::Admitted(_)));
     }
 
     assert!(passed > 0);
@@ -365,17 +365,17 @@
     let mut granter = leader();
     let mut holder = entry("entry-1");
 
-    let first = holder.reason();
+    let first = holder.renewal_reason();
     renew(&mut holder, &mut granter, at(0));
-    let calm = holder.reason();
+    let calm = holder.renewal_reason();
     ask(&mut holder, at(20), 500);
-    let short = holder.reason();
-    let unanswered = holder.renew(at(20));
-    holder.failed(unanswered.sequence);
-    let silent = holder.reason();
-
-    assert_eq!(first, holder::Reason::Period);
-    assert_eq!(calm, holder::Reason::Period);
-    assert_eq!(short, holder::Reason::Shortage);
-    assert_eq!(silent, holder::Reason::Silence);
+    let short = holder.renewal_reason();
+    let unanswered = holder.begin_renewal(at(20));
+    holder.fail_renewal(unanswered.sequence);
+    let silent = holder.renewal_reason();
+
+    assert_eq!(first, holder::RenewalReason::Interval);
+    assert_eq!(calm, holder::RenewalReason::Interval);
+    assert_eq!(short, holder::RenewalReason::Shortage);
+    assert_eq!(silent, holder::RenewalReason::NoAnswer);
 }
--- a/crates/cranberrygap-policy/tests/limits_unequal.rs
+++ b/crates/cranberrygap-policy/tests/limits_unequal.rs
@@ -154,14 +154,16 @@
             let within = ideal.take(now, cost);
             let entry = &mut fleet[random.random_range(0..shape.entries)];
             tally.asked += 1;
-            let patience = holder::Patience::of(PATIENCE);
+            let patience = holder::MaxWait::uniform(PATIENCE);
             let cost_tokens = token::Count(cost);
             match entry.holder.admit(now, &workspace, cost_tokens, patience) {
-                holder::Verdict::Admitted(reservation) => {
-                    entry.holder.settle(now, &reservation, token::Count(cost));
+                holder::Admission::Admitted(reservation) => {
+                    entry
+                        .holder
+                        .close_reservation(now, &reservation, token::Count(cost));
                     window.admitted.push((now, cost));
                 }
-                holder::Verdict::Waiting(ticket) => {
+                holder::Admission::Queued(ticket) => {
                     entry.waiting.insert(ticket, (cost, within));
                 }
             }
@@ -186,7 +188,7 @@
     tally: &mut Tally,
 ) {
     if let Some((_, answer)) = entry.answer.take_if(|(at, _)| *at <= now) {
-        entry.holder.granted(now, &answer);
+        entry.holder.apply_grants(now, &answer);
     }
     for (ticket, decision) in entry.holder.poll(now) {
         let Some((cost, within)) = entry.waiting.remove(&ticket) else {
@@ -194,7 +196,9 @@
         };
         match decision {
             holder::Decision::Admitted(reservation) => {
-                entry.holder.settle(now, &reservation, token::Count(cost));
+                entry
+                    .holder
+                    .close_reservation(now, &reservation, token::Count(cost));
                 window.admitted.push((now, cost));
             }
             holder::Decision::Refused(_) => {
@@ -203,8 +207,8 @@
             }
         }
     }
-    if entry.answer.is_none() && entry.holder.due() <= now {
-        let renewal = entry.holder.renew(now);
+    if entry.answer.is_none() && entry.holder.next_renewal_at() <= now {
+        let renewal = entry.holder.begin_renewal(now);
         tally.renewals += 1;
         let answer = granter.renew(now, &renewal).expect("renewals are in order");
         entry.answer = Some((now.after(ROUND_TRIP), answer.granted));
--- a/crates/cranberrygap-policy/tests/limits_unreachable_lender.rs
+++ b/crates/cranberrygap-policy/tests/limits_unreachable_lender.rs
@@ -28,13 +28,13 @@
         burst: token::Count(burst),
     };
     granter.configure(at(0), &workspace(), limit, granter::Origin::Added);
-    granter.set_delegate(&workspace(), Some(&name("lender")));
+    granter.set_lender(&workspace(), Some(&name("lender")));
     granter
 }
 
-fn lender() -> lending::Lending {
-    let mut lending = lending::Lending::new(name("lender"), number::Boot(1));
-    lending.follow(at(0), &[workspace()]);
+fn lender() -> lending::Lender {
+    let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
+    lending.set_workspaces(at(0), &[workspace()]);
     lending
 }
 
@@ -56,30 +56,30 @@
 /// Requests that came to one entry, and those of them that were admitted.
 fn served(mut granter: granter::Granter, each: u64, reach: Reach) -> (usize, usize) {
     let (mut lending, mut holder) = (lender(), entry());
-    let patience = holder::Patience::of(duration::Span::from_millis(1_000));
+    let patience = holder::MaxWait::uniform(duration::Span::from_millis(1_000));
     let (mut asked, mut admitted) = (0, 0);
     for millis in (0..END).step_by(5) {
         let now = at(millis);
-        if reach != Reach::OnlyEntries && lending.due() <= now {
-            let renewal = lending.renew(now);
+        if reach != Reach::OnlyEntries && lending.next_renewal_at() <= now {
+            let renewal = lending.begin_renewal(now);
             let answer = granter.renew(now, &renewal).expect("in order");
-            lending.granted(now, &answer.granted);
+            lending.apply_grants(now, &answer.granted);
         }
         if millis % each == 0 {
             asked += 1;
             let verdict = holder.admit(now, &workspace(), token::Count(COST), patience);
-            admitted += usize::from(matches!(verdict, holder::Verdict::Admitted(_)));
+            admitted += usize::from(matches!(verdict, holder::Admission::Admitted(_)));
         }
-        for (to, question) in holder.ask(now) {
+        for (to, question) in holder.due_loan_requests(now) {
             if reach != Reach::OnlyLeader {
                 let answer = lending.answer(now, &question).expect("in order");
-                holder.lent(now, &to, &answer);
+                holder.apply_loans(now, &to, &answer);
             }
         }
-        if holder.due() <= now {
-            let renewal = holder.renew(now);
+        if holder.next_renewal_at() <= now {
+            let renewal = holder.begin_renewal(now);
             let answer = granter.renew(now, &renewal).expect("in order");
-            holder.granted(now, &answer.granted);
+            holder.apply_grants(now, &answer.granted);
         }
         granter.expire(now);
         let decided = holder.poll(now).into_iter();
--- a/crates/cranberrygap-policy/tests/outcomes_and_retries.rs
+++ b/crates/cranberrygap-policy/tests/outcomes_and_retries.rs
@@ -19,10 +19,10 @@
     Evidence::DeadlinePassed,
 ];
 
-fn attempt(class: retry::Class, number: u32, outcome: Outcome) -> retry::Attempt {
+fn attempt(class: retry::Class, dispatches: u32, outcome: Outcome) -> retry::Attempt {
     retry::Attempt {
         class,
-        number,
+        dispatches,
         outcome,
         deadline: duration::Instant(10_000_000),
     }
@@ -39,7 +39,7 @@
 fn only_proof_makes_not_run() {
     let table: Vec<String> = EVIDENCE
         .iter()
-        .map(|evidence| format!("{evidence:?}: {}", Outcome::of(*evidence)))
+        .map(|evidence| format!("{evidence:?}: {}", Outcome::from_evidence(*evidence)))
         .collect();
 
     expect![[r"
@@ -57,12 +57,15 @@
 
 #[test]
 fn one_unknown_attempt_makes_the_request_unknown() {
-    let outcome = Outcome::Unknown.and_then(Outcome::NotRun);
+    let outcome = Outcome::Unknown.combined_with(Outcome::NotRun);
 
     assert_eq!(outcome, Outcome::Unknown);
-    assert_eq!(Outcome::NotRun.and_then(Outcome::NotRun), Outcome::NotRun);
     assert_eq!(
-        Outcome::Unknown.and_then(Outcome::Answered),
+        Outcome::NotRun.combined_with(Outcome::NotRun),
+        Outcome::NotRun
+    );
+    assert_eq!(
+        Outcome::Unknown.combined_with(Outcome::Answered),
         Outcome::Answered
     );
 }
@@ -73,12 +76,15 @@
 
     let unknown = decide(
         &mut budget,
-        attempt(retry::Class::Once, 1, Outcome::Unknown),
+        attempt(retry::Class::AtMostOnce, 1, Outcome::Unknown),
+    );
+    let not_run = decide(
+        &mut budget,
+        attempt(retry::Class::AtMostOnce, 1, Outcome::NotRun),
     );
-    let not_run = decide(&mut budget, attempt(retry::Class::Once, 1, Outcome::NotRun));
 
     assert_eq!(unknown, retry::Decision::GiveUp(retry::Reason::MayHaveRun));
-    assert!(matches!(not_run, retry::Decision::Again(_)));
+    assert!(matches!(not_run, retry::Decision::Retry(_)));
 }
 
 // All endpoints of a model fail at once. If every request were sent three times
@@ -95,12 +101,12 @@
 
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.request();
+        budget.record_request();
         let decision = decide(
             &mut budget,
             attempt(retry::Class::Idempotent, 1, Outcome::Unknown),
         );
-        retries += u32::from(matches!(decision, retry::Decision::Again(_)));
+        retries += u32::from(matches!(decision, retry::Decision::Retry(_)));
     }
 
     assert!((90..=101).contains(&retries), "{retries}");
@@ -118,6 +124,12 @@
         attempt(retry::Class::Idempotent, 3, Outcome::Unknown),
     );
 
-    assert_eq!(late, retry::Decision::GiveUp(retry::Reason::Deadline));
-    assert_eq!(third, retry::Decision::GiveUp(retry::Reason::Attempts));
+    assert_eq!(
+        late,
+        retry::Decision::GiveUp(retry::Reason::DeadlineExceeded)
+    );
+    assert_eq!(
+        third,
+        retry::Decision::GiveUp(retry::Reason::AttemptsExhausted)
+    );
 }
--- a/crates/cranberrygap-policy/tests/reserve.rs
+++ b/crates/cranberrygap-policy/tests/reserve.rs
@@ -1,7 +1,7 @@
 //! Second sends over all entries.
 
 use cranberrygap_model::id;
-use cranberrygap_policy::reserve;
+use cranberrygap_policy::resend;
 
 fn service() -> id::Service {
     "lm".parse().expect("a name")
@@ -9,8 +9,7 @@
 
 /// Second sends that `entries` make at once after a quiet time.
 fn burst(entries: usize) -> usize {
-    let mut all: Vec<reserve::Reserve> =
-        (0..entries).map(|_| reserve::Reserve::default()).collect();
+    let mut all: Vec<resend::Budget> = (0..entries).map(|_| resend::Budget::default()).collect();
     for reserve in &mut all {
         for _request in 0..100 {
             reserve.earn(&service(), entries);
@@ -34,7 +33,7 @@
 
 #[test]
 fn second_sends_stay_below_a_fifth_of_the_requests() {
-    let mut reserve = reserve::Reserve::default();
+    let mut reserve = resend::Budget::default();
 
     let mut spent = 0;
     for _request in 0..1_000 {
@@ -47,7 +46,7 @@
 
 #[test]
 fn services_do_not_share_what_is_saved() {
-    let mut reserve = reserve::Reserve::default();
+    let mut reserve = resend::Budget::default();
     reserve.earn(&service(), 8);
 
     let other = "app".parse().expect("a name");
--- a/crates/cranberrygap-policy/tests/streams.rs
+++ b/crates/cranberrygap-policy/tests/streams.rs
@@ -9,7 +9,7 @@
 
 fn deliver(stream: &mut Stream, from: &id::Attempt, tokens: u64) {
     for _ in 0..tokens {
-        assert_eq!(stream.take(from, Event::Token), Decision::Deliver);
+        assert_eq!(stream.accept(from, Event::Token), Decision::Deliver);
     }
 }
 
@@ -23,15 +23,15 @@
     deliver(&mut stream, &first, 3);
 
     let resume_from = stream.resume(second.clone());
-    let late = stream.take(&first, Event::Token);
-    let role = stream.take(&second, Event::Other);
+    let late = stream.accept(&first, Event::Token);
+    let role = stream.accept(&second, Event::Other);
     deliver(&mut stream, &second, 7);
 
     assert_eq!(resume_from, 3);
     assert_eq!(late, Decision::Skip);
     assert_eq!(role, Decision::Skip);
-    assert_eq!(stream.take(&second, Event::Finish), Decision::Deliver);
-    assert_eq!(stream.take(&second, Event::End), Decision::Deliver);
+    assert_eq!(stream.accept(&second, Event::Finish), Decision::Deliver);
+    assert_eq!(stream.accept(&second, Event::End), Decision::Deliver);
     assert!(stream.is_ended());
     assert_eq!(stream.delivered(), 10);
 }
@@ -46,7 +46,7 @@
     stream.resume(second.clone());
     deliver(&mut stream, &second, 1);
 
-    let surplus = stream.take(&second, Event::Token);
+    let surplus = stream.accept(&second, Event::Token);
 
     assert_eq!(surplus, Decision::Broken);
 }
@@ -59,7 +59,7 @@
     let mut stream = Stream::new(only.clone(), 4);
     deliver(&mut stream, &only, 2);
 
-    let end = stream.take(&only, Event::End);
+    let end = stream.accept(&only, Event::End);
 
     assert_eq!(end, Decision::Broken);
     assert!(!stream.is_ended());
--- a/crates/cranberrygap-policy/tests/suspects.rs
+++ b/crates/cranberrygap-policy/tests/suspects.rs
@@ -1,23 +1,27 @@
 //! Requests that crash endpoints, and the innocents beside them.
 
 use cranberrygap_model::{duration, id, number};
-use cranberrygap_policy::quarantine::{probe, watch};
+use cranberrygap_policy::quarantine::{permission, suspects};
 use smol_str::SmolStr;
 
 fn at(millis: u64) -> duration::Instant {
     duration::Instant(millis * 1_000)
 }
 
-fn place(boot: u64) -> watch::Place {
-    watch::Place {
+fn place(boot: u64) -> suspects::Incarnation {
+    suspects::Incarnation {
         endpoint: "runner-1".parse().expect("a valid name"),
         boot: number::Boot(boot),
     }
 }
 
-fn start(watch: &mut watch::Watch, place: &watch::Place, fingerprint: &SmolStr) -> u64 {
+fn start(
+    watch: &mut suspects::Tracker,
+    place: &suspects::Incarnation,
+    fingerprint: &SmolStr,
+) -> u64 {
     watch
-        .start(at(0), place, fingerprint)
+        .start_request(at(0), place, fingerprint)
         .expect("it may run there")
 }
 
@@ -25,8 +29,8 @@
     name.parse().expect("a valid name")
 }
 
-fn leave(fingerprint: &str, instance: &str) -> probe::Leave {
-    probe::Leave {
+fn leave(fingerprint: &str, instance: &str) -> permission::Permission {
+    permission::Permission {
         fingerprint: fingerprint.into(),
         instance: instance.parse().expect("a valid name"),
         boot: number::Boot(1),
@@ -34,19 +38,19 @@
     }
 }
 
-fn open_table() -> (probe::Table, duration::Instant) {
-    (probe::Table::new(at(0)), at(6_000))
+fn open_table() -> (permission::Table, duration::Instant) {
+    (permission::Table::new(at(0)), at(6_000))
 }
 
 #[test]
 fn all_that_ran_on_a_dead_endpoint_is_suspect() {
-    let mut watch = watch::Watch::default();
+    let mut watch = suspects::Tracker::default();
     start(&mut watch, &place(1), &SmolStr::new("culprit"));
     start(&mut watch, &place(1), &SmolStr::new("innocent"));
     let done = start(&mut watch, &place(1), &SmolStr::new("finished"));
-    watch.ended(&place(1), done, true);
+    watch.finish_request(&place(1), done, true);
 
-    let crash = watch.booted(at(5), &place(2));
+    let crash = watch.record_boot(at(5), &place(2));
 
     assert_eq!(crash.len(), 1);
     assert_eq!(crash[0].fingerprints, ["culprit", "innocent"]);
@@ -60,13 +64,13 @@
 // condemned at the next crash beside it.
 #[test]
 fn answered_suspect_is_cleared() {
-    let mut watch = watch::Watch::default();
+    let mut watch = suspects::Tracker::default();
     let innocent = SmolStr::new("innocent");
     start(&mut watch, &place(1), &innocent);
-    watch.died(at(0), &place(1));
+    watch.record_death(at(0), &place(1));
 
     let again = start(&mut watch, &place(2), &innocent);
-    let cleared = watch.ended(&place(2), again, true);
+    let cleared = watch.finish_request(&place(2), again, true);
 
     assert!(cleared);
     assert!(!watch.is_suspect(at(1), "innocent"));
@@ -76,19 +80,19 @@
 // which of them did it. And on a dead one nothing should be tried at all.
 #[test]
 fn suspect_runs_neither_beside_another_nor_on_a_dead_endpoint() {
-    let mut watch = watch::Watch::default();
+    let mut watch = suspects::Tracker::default();
     let (first, second) = (SmolStr::new("first"), SmolStr::new("second"));
     start(&mut watch, &place(1), &first);
     start(&mut watch, &place(1), &second);
-    watch.died(at(0), &place(1));
+    watch.record_death(at(0), &place(1));
 
-    let dead = watch.start(at(1), &place(1), &first);
-    let alone = watch.start(at(1), &place(2), &first);
-    let shared = watch.start(at(1), &place(2), &second);
-    let innocent = watch.start(at(1), &place(2), &SmolStr::new("innocent"));
+    let dead = watch.start_request(at(1), &place(1), &first);
+    let alone = watch.start_request(at(1), &place(2), &first);
+    let shared = watch.start_request(at(1), &place(2), &second);
+    let innocent = watch.start_request(at(1), &place(2), &SmolStr::new("innocent"));
 
-    assert_eq!(dead, Err(watch::Denial::Dead));
-    assert_eq!(shared, Err(watch::Denial::Shared));
+    assert_eq!(dead, Err(suspects::Denial::Dead));
+    assert_eq!(shared, Err(suspects::Denial::OtherSuspect));
     assert!(alone.is_ok() && innocent.is_ok());
 }
 
@@ -98,10 +102,10 @@
 fn one_suspect_at_a_time_has_an_endpoint() {
     let (mut table, now) = open_table();
 
-    let first = table.ask(now, &endpoint("a"), &leave("culprit", "entry-1"));
-    let second = table.ask(now, &endpoint("a"), &leave("innocent", "entry-2"));
-    let elsewhere = table.ask(now, &endpoint("b"), &leave("innocent", "entry-2"));
-    let twice = table.ask(now, &endpoint("c"), &leave("innocent", "entry-3"));
+    let first = table.try_grant(now, &endpoint("a"), &leave("culprit", "entry-1"));
+    let second = table.try_grant(now, &endpoint("a"), &leave("innocent", "entry-2"));
+    let elsewhere = table.try_grant(now, &endpoint("b"), &leave("innocent", "entry-2"));
+    let twice = table.try_grant(now, &endpoint("c"), &leave("innocent", "entry-3"));
 
     assert!(first && elsewhere);
     assert!(!second && !twice);
@@ -110,10 +114,10 @@
 // The leader that gave a leave is replaced; its successor knows nothing of it.
 #[test]
 fn new_leader_waits_for_the_leaves_of_the_old_one() {
-    let mut table = probe::Table::new(at(0));
+    let mut table = permission::Table::new(at(0));
 
-    let early = table.ask(at(4_999), &endpoint("a"), &leave("x", "entry-1"));
-    let later = table.ask(at(5_200), &endpoint("a"), &leave("x", "entry-1"));
+    let early = table.try_grant(at(4_999), &endpoint("a"), &leave("x", "entry-1"));
+    let later = table.try_grant(at(5_200), &endpoint("a"), &leave("x", "entry-1"));
 
     assert!(!early);
     assert!(later);
@@ -122,13 +126,15 @@
 #[test]
 fn leave_ends_with_its_lease_or_its_request() {
     let (mut table, now) = open_table();
-    table.ask(now, &endpoint("a"), &leave("x", "entry-1"));
-    table.ask(now, &endpoint("b"), &leave("y", "entry-1"));
-
-    table.end(&endpoint("a"), &leave("x", "entry-1"));
-    let after_end = table.ask(now, &endpoint("a"), &leave("z", "entry-2"));
-    let lapsed = now.after(probe::LEASE).after(duration::Span::from_secs(1));
-    let after_lease = table.ask(lapsed, &endpoint("b"), &leave("z", "entry-2"));
+    table.try_grant(now, &endpoint("a"), &leave("x", "entry-1"));
+    table.try_grant(now, &endpoint("b"), &leave("y", "entry-1"));
+
+    table.release(&endpoint("a"), &leave("x", "entry-1"));
+    let after_end = table.try_grant(now, &endpoint("a"), &leave("z", "entry-2"));
+    let lapsed = now
+        .after(permission::LEASE_DURATION)
+        .after(duration::Span::from_secs(1));
+    let after_lease = table.try_grant(lapsed, &endpoint("b"), &leave("z", "entry-2"));
 
     assert!(after_end);
     assert!(after_lease);
