--- a/crates/cranberrygap-entry/src/admission.rs
+++ b/crates/cranberrygap-entry/src/admission.rs
@@ -55,7 +55,7 @@
     /// Ends a reservation; what was not used goes back.
     fn settle(&self, reservation: &holder::Reservation, used: token::Count);
     /// Takes over rates and bursts of a new view.
-    fn follow(&self, view: &view::Snapshot);
+    fn apply_view(&self, view: &view::Snapshot);
     /// The whole state for a dump.
     fn dump(&self) -> serde_json::Value;
 }
--- a/crates/cranberrygap-entry/src/admission/permit.rs
+++ b/crates/cranberrygap-entry/src/admission/permit.rs
@@ -56,7 +56,7 @@
     }
 
     /// Counts the whole reservation as used, because what ran is not known.
-    pub(crate) fn use_all(&mut self) {
+    pub(crate) fn mark_all_used(&mut self) {
         self.used = self.reserved;
     }
 }
--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -121,7 +121,7 @@
     }
 
     /// Renews what this entry lends, until the process stops.
-    pub(crate) async fn lend(self: Arc<Self>, core: Arc<core::Core>) {
+    pub(crate) async fn run_lending(self: Arc<Self>, core: Arc<core::Core>) {
         loop {
             let due = self.inner.lock().lending.due();
             let span = due.since(self.clock.now()).min(LOOK);
@@ -155,7 +155,7 @@
     }
 
     /// Hands all tokens back, as the last thing before the process ends.
-    pub(crate) async fn close(&self, core: &core::Core) {
+    pub(crate) async fn return_all(&self, core: &core::Core) {
         let lends = {
             let now = self.clock.now();
             let mut inner = self.inner.lock();
@@ -376,7 +376,7 @@
         self.inner.lock().holder.settle(now, reservation, used);
     }
 
-    fn follow(&self, view: &view::Snapshot) {
+    fn apply_view(&self, view: &view::Snapshot) {
         let limits = view.workspaces().iter().map(|workspace| {
             let target = configuration::Target::Workspace;
             let exception = view.exception(target, workspace.as_str());
--- a/crates/cranberrygap-entry/src/caller.rs
+++ b/crates/cranberrygap-entry/src/caller.rs
@@ -15,7 +15,7 @@
 
 /// The caller's request id, or a new one when it gave none that can be used.
 pub(crate) fn request_id(request: &Request) -> id::Request {
-    let given = request.headers().get(engine::REQUEST);
+    let given = request.headers().get(engine::REQUEST_ID_HEADER);
     let given = given
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
@@ -28,7 +28,9 @@
 /// Writes the request id into the answer's head.
 pub(crate) fn write_request_id(request: &id::Request, response: &mut Response) {
     if let Ok(value) = HeaderValue::from_str(request.as_str()) {
-        response.headers_mut().insert(engine::REQUEST, value);
+        response
+            .headers_mut()
+            .insert(engine::REQUEST_ID_HEADER, value);
     }
 }
 
--- a/crates/cranberrygap-entry/src/caller/generate.rs
+++ b/crates/cranberrygap-entry/src/caller/generate.rs
@@ -77,9 +77,9 @@
         &self,
         view: &view::Snapshot,
         workspace: &id::Workspace,
-        call: &engine::Call,
+        call: &engine::Request,
     ) -> Result<Option<queue::Place>, Refusal> {
-        let engines = self.core.router.holders(&call.body.model);
+        let engines = self.core.router.ready_runner_count(&call.body.model);
         if engines == 0 {
             // Whether to wait for a load is the router's to say.
             return Ok(None);
@@ -127,8 +127,8 @@
         let permit = admission::Permit::reserve(limiter, &workspace, body.bound()).await?;
         self.note_admitted(about, &body);
         let progress = attainment::Progress::arrived(&self.core, &body.model, view.defaults());
-        let call = engine::Call {
-            request: id.clone(),
+        let call = engine::Request {
+            id: id.clone(),
             about: about.clone(),
             path: self.path,
             fingerprint,
@@ -137,7 +137,7 @@
         };
         let place = self.place(&view, &workspace, &call).await?;
         let delivery = engine::Delivery::new(&self.core, &Arc::new(call), place);
-        if delivery.call().body.stream {
+        if delivery.request().body.stream {
             return stream(response, delivery, permit, progress).await;
         }
         whole(response, delivery, permit, progress).await
@@ -177,7 +177,7 @@
     };
     match total {
         Some(used) => permit.set_used(token::Count(used)),
-        None => permit.use_all(),
+        None => permit.mark_all_used(),
     }
     progress.token();
     progress.finish();
@@ -191,18 +191,18 @@
 async fn read_whole(delivery: &mut engine::Delivery) -> Result<(Bytes, Option<u64>), Refusal> {
     loop {
         let answer = delivery.send(0).await?;
-        let mut sent = answer.sent;
+        let mut sent = answer.attempt;
         let evidence = match answer.response.bytes().await {
             Ok(bytes) => match serde_json::from_slice::<serde_json::Value>(&bytes) {
                 Ok(parsed) => {
-                    sent.answer();
+                    sent.record_complete();
                     return Ok((bytes, parsed["usage"]["total_tokens"].as_u64()));
                 }
                 Err(_malformed) => Evidence::CutAnswer,
             },
             Err(_cause) => Evidence::ConnectionBroke,
         };
-        delivery.failed(evidence, sent).await?;
+        delivery.handle_failure(evidence, sent).await?;
     }
 }
 
@@ -213,7 +213,7 @@
     refusal: Refusal,
 ) -> Refusal {
     if !delivery.is_not_run() {
-        permit.use_all();
+        permit.mark_all_used();
     }
     refusal
 }
--- a/crates/cranberrygap-entry/src/caller/services.rs
+++ b/crates/cranberrygap-entry/src/caller/services.rs
@@ -118,7 +118,7 @@
             self.book(call).await
         };
         if !matches!(&outcome, Err(refusal) if is_not_run(refusal)) {
-            permit.use_all();
+            permit.mark_all_used();
         }
         ending::write(outcome?, response);
         Ok(())
@@ -210,7 +210,7 @@
     }
 
     /// An endpoint that was not tried, or the first again when all were.
-    fn choose_another(&self, call: &Call, tried: &mut route::Tried) -> Option<route::Choice> {
+    fn choose_another(&self, call: &Call, tried: &mut route::Tried) -> Option<route::Destination> {
         let mut choice = self.choose(call, tried);
         if choice.is_none() {
             tried.clear();
@@ -277,8 +277,8 @@
         ending::to_input(&ending)
     }
 
-    fn choose(&self, call: &Call, tried: &route::Tried) -> Option<route::Choice> {
-        let wanted = route::Wanted {
+    fn choose(&self, call: &Call, tried: &route::Tried) -> Option<route::Destination> {
+        let wanted = route::Query {
             model: None,
             service: Some(&call.service),
             tried,
@@ -289,7 +289,7 @@
     async fn dispatch(
         &self,
         call: &Call,
-        choice: &route::Choice,
+        choice: &route::Destination,
         client: &reqwest::Client,
     ) -> ending::Ending {
         let about = call.about().at(&choice.endpoint);
@@ -305,21 +305,23 @@
         };
         self.core.trace.note(&about, "ended", sentence, &[]);
         let failed = matches!(ending, ending::Ending::Failed(_));
-        self.core.router.ended(self.core.now(), choice, failed);
+        self.core
+            .router
+            .record_ended(self.core.now(), choice, failed);
         ending
     }
 
     async fn send(
         &self,
         call: &Call,
-        choice: &route::Choice,
+        choice: &route::Destination,
         client: &reqwest::Client,
     ) -> ending::Ending {
         let url = format!("http://{}{}", choice.address, call.path);
         let mut sending = client
             .request(call.method.clone(), url)
             .timeout(Duration::from_micros(call.deadline.0))
-            .header(engine::REQUEST, call.id.as_str())
+            .header(engine::REQUEST_ID_HEADER, call.id.as_str())
             .body(Bytes::clone(&call.body));
         if let Some(content_type) = &call.content_type {
             sending = sending.header(header::CONTENT_TYPE, content_type);
@@ -329,7 +331,7 @@
         }
         match sending.send().await {
             Ok(answer) => ending::read_answer(answer).await,
-            Err(cause) => ending::Ending::Failed(engine::evidence(&cause)),
+            Err(cause) => ending::Ending::Failed(engine::evidence_of(&cause)),
         }
     }
 }
--- a/crates/cranberrygap-entry/src/control/subscription.rs
+++ b/crates/cranberrygap-entry/src/control/subscription.rs
@@ -88,9 +88,9 @@
         let Some(view) = self.core.view.latest() else {
             return;
         };
-        self.core.limiter.follow(&view);
-        self.core.router.follow(&view);
-        self.core.endpoints.follow(self.core.now(), &view);
+        self.core.limiter.apply_view(&view);
+        self.core.router.apply_view(&view);
+        self.core.endpoints.apply_view(self.core.now(), &view);
         let controls = view.controls().map(|member| address::Peer {
             instance: member.instance.clone(),
             address: member.address,
--- a/crates/cranberrygap-entry/src/core.rs
+++ b/crates/cranberrygap-entry/src/core.rs
@@ -37,7 +37,7 @@
     pub(crate) lending: Option<address::Socket>,
     pub(crate) router: Arc<dyn route::Router>,
     /// Endpoints of the traffic plan's services.
-    pub(crate) endpoints: gateway::Table,
+    pub(crate) endpoints: gateway::Endpoints,
     pub(crate) upstream: upstream::Clients,
     /// Requests that wait for a place at the engines.
     pub(crate) queues: Arc<queue::Queues>,
--- a/crates/cranberrygap-entry/src/engine/delivery.rs
+++ b/crates/cranberrygap-entry/src/engine/delivery.rs
@@ -12,7 +12,10 @@
 use crate::refusal::Refusal;
 use crate::route;
 
-use super::{ATTEMPT, Answer, Call, FIRST_BYTE, REQUEST, Sent, leave, sent};
+use super::{
+    ATTEMPT_ID_HEADER, Attempt, FIRST_BYTE_TIMEOUT, REQUEST_ID_HEADER, Request, Response, leave,
+    sent,
+};
 
 /// Wait before callers may try again when no engine holds the model.
 const NO_ENGINE_WAIT: duration::Span = duration::Span::from_secs(1);
@@ -28,7 +31,7 @@
 #[derive(Debug)]
 pub(crate) struct Delivery {
     core: Arc<core::Core>,
-    call: Arc<Call>,
+    call: Arc<Request>,
     tried: route::Tried,
     attempts: u32,
     crashes: u32,
@@ -41,7 +44,7 @@
     /// Nothing was sent yet.
     pub(crate) fn new(
         core: &Arc<core::Core>,
-        call: &Arc<Call>,
+        call: &Arc<Request>,
         place: Option<queue::Place>,
     ) -> Self {
         let mut budget = core.retries.lock();
@@ -62,7 +65,7 @@
     }
 
     /// The request.
-    pub(crate) fn call(&self) -> &Arc<Call> {
+    pub(crate) fn request(&self) -> &Arc<Request> {
         &self.call
     }
 
@@ -82,15 +85,15 @@
     /// # Errors
     ///
     /// The final refusal.
-    pub(crate) async fn send(&mut self, delivered: u64) -> Result<Answer, Refusal> {
+    pub(crate) async fn send(&mut self, delivered: u64) -> Result<Response, Refusal> {
         loop {
             self.check_quarantine()?;
             let (choice, started) = self.choose().await?;
             self.attempts += 1;
-            let sent = Sent::new(&self.core, choice, &self.call, self.attempts, started);
+            let sent = Attempt::new(&self.core, choice, &self.call, self.attempts, started);
             match self.attempt(sent, delivered).await {
                 Ok(answer) => return Ok(answer),
-                Err((evidence, sent)) => self.failed(evidence, sent).await?,
+                Err((evidence, sent)) => self.handle_failure(evidence, sent).await?,
             }
         }
     }
@@ -101,12 +104,12 @@
     /// # Errors
     ///
     /// The final refusal, at once.
-    pub(crate) async fn failed(
+    pub(crate) async fn handle_failure(
         &mut self,
         evidence: Evidence,
-        mut sent: Sent,
+        mut sent: Attempt,
     ) -> Result<(), Refusal> {
-        self.crashes += u32::from(sent.broke(evidence).await);
+        self.crashes += u32::from(sent.record_failure(evidence).await);
         drop(sent);
         let outcome = Outcome::of(evidence);
         self.outcome = if self.attempts <= 1 {
@@ -160,14 +163,14 @@
 
     /// An engine to send to, with the note that the request runs there; a suspect
     /// waits for one without another suspect.
-    async fn choose(&mut self) -> Result<(route::Choice, sent::Started), Refusal> {
+    async fn choose(&mut self) -> Result<(route::Destination, sent::Started), Refusal> {
         loop {
             let choice = self.choose_once()?;
             if let Some(started) = self.start(&choice).await {
                 return Ok((choice, started));
             }
             let now = self.core.now();
-            self.core.router.ended(now, &choice, false);
+            self.core.router.record_ended(now, &choice, false);
             if self.remaining() <= SUSPECT_WAIT {
                 return Err(self.refusal(retry::Reason::Deadline));
             }
@@ -178,7 +181,7 @@
     }
 
     /// Notes that the request runs there, if it may.
-    async fn start(&self, choice: &route::Choice) -> Option<sent::Started> {
+    async fn start(&self, choice: &route::Destination) -> Option<sent::Started> {
         let place = sent::place(choice);
         let now = self.core.now();
         let fingerprint = &self.call.fingerprint;
@@ -204,11 +207,13 @@
         let Some(choice) = self.ask_router() else {
             return true;
         };
-        self.core.router.ended(self.core.now(), &choice, false);
+        self.core
+            .router
+            .record_ended(self.core.now(), &choice, false);
         false
     }
 
-    fn choose_once(&mut self) -> Result<route::Choice, Refusal> {
+    fn choose_once(&mut self) -> Result<route::Destination, Refusal> {
         if let Some(choice) = self.ask_router() {
             self.tried.push(choice.endpoint.clone());
             return Ok(choice);
@@ -219,8 +224,8 @@
         choice.ok_or_else(|| self.refusal(retry::Reason::Attempts))
     }
 
-    fn ask_router(&self) -> Option<route::Choice> {
-        let wanted = route::Wanted {
+    fn ask_router(&self) -> Option<route::Destination> {
+        let wanted = route::Query {
             model: Some(&self.call.body.model),
             service: None,
             tried: &self.tried,
@@ -228,7 +233,11 @@
         self.core.router.choose(self.core.now(), &wanted)
     }
 
-    async fn attempt(&self, sent: Sent, delivered: u64) -> Result<Answer, (Evidence, Sent)> {
+    async fn attempt(
+        &self,
+        sent: Attempt,
+        delivered: u64,
+    ) -> Result<Response, (Evidence, Attempt)> {
         let Ok(attempt) = format!("{:032x}", rand::random::<u128>()).parse::<id::Attempt>() else {
             return Err((Evidence::NeverDispatched, sent));
         };
@@ -241,22 +250,22 @@
         let sending = client
             .post(format!("http://{}{}", sent.address(), self.call.path))
             .header(header::CONTENT_TYPE, "application/json")
-            .header(ATTEMPT, attempt.as_str())
-            .header(REQUEST, self.call.request.as_str())
+            .header(ATTEMPT_ID_HEADER, attempt.as_str())
+            .header(REQUEST_ID_HEADER, self.call.id.as_str())
             .timeout(self.remaining().to_std())
             .body(self.call.body.resumed(delivered))
             .send();
         let limit = if self.call.body.stream {
-            FIRST_BYTE.min(self.remaining())
+            FIRST_BYTE_TIMEOUT.min(self.remaining())
         } else {
             self.remaining()
         };
         let response = match tokio::time::timeout(limit.to_std(), sending).await {
             Err(_elapsed) => return Err((Evidence::Silence, sent)),
-            Ok(Err(cause)) => return Err((evidence(&cause), sent)),
+            Ok(Err(cause)) => return Err((evidence_of(&cause), sent)),
             Ok(Ok(response)) => response,
         };
-        let echoed = response.headers().get(ATTEMPT);
+        let echoed = response.headers().get(ATTEMPT_ID_HEADER);
         let is_own = echoed.is_none_or(|echoed| echoed.as_bytes() == attempt.as_str().as_bytes());
         if !is_own {
             return Err((Evidence::CrossedAnswer, sent));
@@ -264,16 +273,16 @@
         if let Some(refused) = refused(response.status()) {
             return Err((refused, sent));
         }
-        Ok(Answer {
+        Ok(Response {
             response,
-            attempt,
-            sent,
+            attempt_id: attempt,
+            attempt: sent,
         })
     }
 }
 
 /// What an error of the client proves.
-pub(crate) fn evidence(cause: &reqwest::Error) -> Evidence {
+pub(crate) fn evidence_of(cause: &reqwest::Error) -> Evidence {
     if cause.is_connect() {
         return Evidence::ConnectFailed;
     }
--- a/crates/cranberrygap-entry/src/engine/sent.rs
+++ b/crates/cranberrygap-entry/src/engine/sent.rs
@@ -14,7 +14,7 @@
 use crate::core;
 use crate::route;
 
-use super::{Call, leave};
+use super::{Request, leave};
 
 /// Longest look at whether an endpoint is dead; it is about a millisecond away.
 const LOOK: Duration = Duration::from_millis(500);
@@ -24,9 +24,9 @@
 
 /// A request that was sent to an engine; tells the router when it ends.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct Attempt {
     core: Arc<core::Core>,
-    choice: route::Choice,
+    choice: route::Destination,
     about: note::About,
     at: duration::Instant,
     running: u64,
@@ -37,7 +37,7 @@
 }
 
 /// The life of the endpoint that a choice was made for.
-pub(super) fn place(choice: &route::Choice) -> watch::Place {
+pub(super) fn place(choice: &route::Destination) -> watch::Place {
     watch::Place {
         endpoint: choice.endpoint.clone(),
         boot: choice.boot,
@@ -51,12 +51,12 @@
     pub(super) leave: Option<leave::Leave>,
 }
 
-impl Sent {
+impl Attempt {
     /// Notes that `call` goes to `choice` now.
     pub(super) fn new(
         core: &Arc<core::Core>,
-        choice: route::Choice,
-        call: &Call,
+        choice: route::Destination,
+        call: &Request,
         attempt: u32,
         started: Started,
     ) -> Self {
@@ -86,7 +86,7 @@
 
     /// The whole answer has arrived; a suspect is innocent then, and the leader is
     /// told.
-    pub(crate) fn answer(&mut self) {
+    pub(crate) fn record_complete(&mut self) {
         let place = place(&self.choice);
         let fingerprint = self.fingerprint.clone();
         let cleared = self.core.watch.lock().ended(&place, self.running, true);
@@ -104,7 +104,7 @@
     ///
     /// All that ran on a dead engine becomes suspect, also what other requests of
     /// this entry are about to find out themselves.
-    pub(crate) async fn broke(&mut self, evidence: Evidence) -> bool {
+    pub(crate) async fn record_failure(&mut self, evidence: Evidence) -> bool {
         self.failed = true;
         let is_sign = matches!(
             evidence,
@@ -179,7 +179,7 @@
     }
 }
 
-impl Drop for Sent {
+impl Drop for Attempt {
     fn drop(&mut self) {
         let time = self.core.now().since(self.at);
         let (code, sentence) = if self.failed {
@@ -193,6 +193,6 @@
         self.core.watch.lock().ended(&place, self.running, false);
         self.core
             .router
-            .ended(self.core.now(), &self.choice, self.failed);
+            .record_ended(self.core.now(), &self.choice, self.failed);
     }
 }
--- a/crates/cranberrygap-entry/src/gateway.rs
+++ b/crates/cranberrygap-entry/src/gateway.rs
@@ -22,7 +22,7 @@
 mod stream;
 mod volume;
 
-pub(crate) use endpoints::Table;
+pub(crate) use endpoints::Endpoints;
 pub(crate) use gossip::Gossip;
 pub(crate) use listener::Listener;
 
--- a/crates/cranberrygap-entry/src/gateway/delivery/send.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/send.rs
@@ -126,12 +126,12 @@
             }
         };
         let id = self.facts.ask.id.as_deref();
-        let judged = self
-            .gateway
-            .dialect
-            .judge(id, response.status(), response.headers());
+        let judged =
+            self.gateway
+                .dialect
+                .classify_response(id, response.status(), response.headers());
         Exchange::Done(match judged {
-            dialect::Judgement::Answer => {
+            dialect::Classification::Answer => {
                 self.use_permit();
                 Sent::Answered(Box::new(Answered {
                     response,
@@ -139,13 +139,13 @@
                     flight,
                 }))
             }
-            dialect::Judgement::NotRun(cause) => {
+            dialect::Classification::NotRun(cause) => {
                 flight.judge(cause != dialect::NotRun::Full);
                 drop(flight);
                 self.discard(response.into_body(), line).await;
                 Sent::NotRun(cause)
             }
-            dialect::Judgement::Foreign => {
+            dialect::Classification::Foreign => {
                 flight.judge(false);
                 self.use_permit();
                 Sent::Unknown("an answer to another request came")
@@ -155,7 +155,7 @@
 
     fn use_permit(&mut self) {
         if let Some(permit) = &mut self.permit {
-            permit.use_all();
+            permit.mark_all_used();
         }
     }
 
@@ -167,14 +167,14 @@
     ) -> Result<Request<Full<Bytes>>, Failure> {
         let mut headers = self.facts.headers.clone();
         let payer = self.resolved.workspace.as_ref();
-        let told = dialect::Told {
+        let told = dialect::Attempt {
             endpoint: &aim.place.endpoint,
             workspace: payer.map(|payer| &payer.name),
-            left,
+            time_left: left,
             priority: self.resolved.priority(),
-            last_event,
+            last_event_id: last_event,
         };
-        self.gateway.dialect.write(&mut headers, &told);
+        self.gateway.dialect.write_headers(&mut headers, &told);
         let mut request = Request::new(Full::new(Bytes::clone(&self.facts.body)));
         *request.method_mut() = self.facts.method.clone();
         let uri = Uri::try_from(self.facts.target.as_str());
--- a/crates/cranberrygap-entry/src/gateway/dialect.rs
+++ b/crates/cranberrygap-entry/src/gateway/dialect.rs
@@ -13,11 +13,11 @@
 
 /// The facts of a request, whatever headers they came in.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ask {
+pub struct Metadata {
     /// Names the caller's attempt.
     pub id: Option<SmolStr>,
     /// Time that the caller waits.
-    pub patience: Option<duration::Span>,
+    pub timeout: Option<duration::Span>,
     /// The key that the caller shows. It is never passed on or logged.
     pub key: Option<SmolStr>,
     /// The model, if one is wanted.
@@ -27,9 +27,9 @@
     /// Prompt tokens and most generated tokens, where the caller counts them.
     pub tokens: Option<Tokens>,
     /// Parts of the prompt in order.
-    pub parts: SmallVec<[memory::Part; USUAL_PARTS]>,
+    pub prompt_parts: SmallVec<[memory::Part; USUAL_PARTS]>,
     /// Last event that the caller has of a stream that broke off.
-    pub last_event: Option<SmolStr>,
+    pub last_event_id: Option<SmolStr>,
 }
 
 /// Tokens of a request.
@@ -43,22 +43,22 @@
 
 /// What an endpoint is told beside what the caller sent.
 #[derive(Debug)]
-pub struct Told<'request> {
+pub struct Attempt<'request> {
     /// The only endpoint that shall run it.
     pub endpoint: &'request id::Endpoint,
     /// For whom it runs; none on routes without workspaces.
     pub workspace: Option<&'request id::Workspace>,
     /// Time that is left.
-    pub left: duration::Span,
+    pub time_left: duration::Span,
     /// Rank, 0 is the most urgent.
     pub priority: u32,
     /// Event after which the stream goes on, if another one has begun it.
-    pub last_event: Option<&'request str>,
+    pub last_event_id: Option<&'request str>,
 }
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judgement {
+pub enum Classification {
     /// The answer to this request.
     Answer,
     /// It did not run the request and will not.
@@ -85,12 +85,17 @@
     /// # Errors
     ///
     /// A sentence about a header that cannot be understood.
-    fn read(&self, headers: &HeaderMap) -> Result<Ask, SmolStr>;
+    fn read_headers(&self, headers: &HeaderMap) -> Result<Metadata, SmolStr>;
 
     /// Makes the headers for an endpoint from those of the caller: takes out what
     /// is not for it and writes what it is told.
-    fn write(&self, headers: &mut HeaderMap, told: &Told<'_>);
+    fn write_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
     /// Judges the head of an answer to the request named `id`.
-    fn judge(&self, id: Option<&str>, status: StatusCode, headers: &HeaderMap) -> Judgement;
+    fn classify_response(
+        &self,
+        id: Option<&str>,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> Classification;
 }
--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -93,7 +93,7 @@
 
 /// Endpoints by service, and what waits at each.
 #[derive(Debug)]
-pub(crate) struct Table {
+pub(crate) struct Endpoints {
     domain: id::Domain,
     inner: Mutex<Inner>,
     paces: Mutex<pace::Paces>,
@@ -117,7 +117,7 @@
     tallies: BTreeMap<u32, tally::Tally>,
 }
 
-impl Table {
+impl Endpoints {
     pub(crate) fn new(domain: id::Domain) -> Self {
         Self {
             domain,
@@ -128,7 +128,7 @@
     }
 
     /// Takes over the endpoints of a new view.
-    pub(crate) fn follow(&self, now: duration::Instant, view: &view::Snapshot) {
+    pub(crate) fn apply_view(&self, now: duration::Instant, view: &view::Snapshot) {
         let mut inner = self.inner.lock();
         let same = Arc::ptr_eq(view.endpoints(), &inner.endpoints)
             && Arc::ptr_eq(view.residencies(), &inner.residencies);
--- a/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use super::{Place, Table};
+use super::{Endpoints, Place};
 
 /// Prompts that take less than so many microseconds are not told at once: a twentieth of
 /// the pause that streams allow.
@@ -29,7 +29,7 @@
     news: Notify,
 }
 
-impl Table {
+impl Endpoints {
     /// Counts a prompt as sent to an engine from the moment at which that is decided.
     ///
     /// Requests that wait for the same engine look again within milliseconds. Were it
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -60,7 +60,7 @@
     pub host: SmolStr,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub ask: dialect::Ask,
+    pub ask: dialect::Metadata,
     pub chain: memory::Chain,
     pub arrived: duration::Instant,
     /// Draws the part of a split route, the same for all its sends.
@@ -168,7 +168,7 @@
 
     /// The moment by which the caller must have its answer.
     pub(crate) fn deadline(&self, route: &traffic::Route) -> duration::Instant {
-        let patience = self.ask.patience.unwrap_or(route.deadline);
+        let patience = self.ask.timeout.unwrap_or(route.deadline);
         self.arrived.after(patience.min(route.deadline))
     }
 }
@@ -229,7 +229,7 @@
     body: Incoming,
     told: &mut story::Story,
 ) -> Result<Response<answer::Body>, Failure> {
-    let ask = gateway.dialect.read(&head.headers);
+    let ask = gateway.dialect.read_headers(&head.headers);
     let ask = ask.map_err(Failure::Malformed)?;
     told.id.clone_from(&ask.id);
     let body = read_body(gateway, body).await?;
@@ -294,13 +294,13 @@
     arrived: duration::Instant,
     head: request::Parts,
     body: Bytes,
-    ask: dialect::Ask,
+    ask: dialect::Metadata,
 ) -> Result<Facts, Failure> {
     let host = host(&head).ok_or_else(|| Failure::Malformed("there is no host".into()))?;
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let model = ask.model.as_ref().map_or("", id::Model::as_str);
-    let chain = memory::Chain::new(model, ask.adapter.as_deref(), &ask.parts);
+    let chain = memory::Chain::new(model, ask.adapter.as_deref(), &ask.prompt_parts);
     let mut headers = head.headers;
     answer::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
--- a/crates/cranberrygap-entry/src/gateway/stream.rs
+++ b/crates/cranberrygap-entry/src/gateway/stream.rs
@@ -45,7 +45,12 @@
     flight: flight::Flight,
 ) -> Response<answer::Body> {
     let splitter = delivery.is_repeatable().then(sse::Splitter::default);
-    let last_event = delivery.facts.ask.last_event.as_deref().map(str::to_owned);
+    let last_event = delivery
+        .facts
+        .ask
+        .last_event_id
+        .as_deref()
+        .map(str::to_owned);
     let relay = Relay {
         delivery,
         upstream: Some(Upstream { body, line, flight }),
--- a/crates/cranberrygap-entry/src/load.rs
+++ b/crates/cranberrygap-entry/src/load.rs
@@ -102,8 +102,8 @@
         let count = (BUDGET / self.size.max(1)).max(LEAST);
         let count = usize::try_from(count).unwrap_or(usize::MAX);
         let asked = |runner: &route::Runner| self.known.get(&runner.endpoint).map(|k| k.asked);
-        runners.sort_by_key(|runner| (!runner.used, asked(runner)));
-        let used = runners.iter().filter(|runner| runner.used).count();
+        runners.sort_by_key(|runner| (!runner.recently_used, asked(runner)));
+        let used = runners.iter().filter(|runner| runner.recently_used).count();
         let mut others = runners.split_off(used.min(runners.len()));
         let room = count.saturating_sub(runners.len()).max(1);
         others.truncate(room);
@@ -120,7 +120,9 @@
 
     fn take(&mut self, answer: &Answer) {
         self.size = (self.size * (MEAN_OVER - 1) + answer.size) / MEAN_OVER;
-        self.core.router.report(self.core.now(), &answer.report);
+        self.core
+            .router
+            .apply_report(self.core.now(), &answer.report);
         if let Some(known) = self.known.get_mut(&answer.report.endpoint) {
             known.since = answer.report.sequence;
         }
--- a/crates/cranberrygap-entry/src/process.rs
+++ b/crates/cranberrygap-entry/src/process.rs
@@ -139,7 +139,9 @@
         if let Some((socket, _)) = exchange {
             let exchange = admission::Exchange::new(Arc::clone(&shares), socket);
             tasks.push(tokio::spawn(exchange.run(Arc::clone(&core))));
-            tasks.push(tokio::spawn(Arc::clone(&shares).lend(Arc::clone(&core))));
+            tasks.push(tokio::spawn(
+                Arc::clone(&shares).run_lending(Arc::clone(&core)),
+            ));
         }
         info!(
             "entry: {} serves callers at {}",
@@ -230,7 +232,7 @@
         for task in &self.tasks {
             task.abort();
         }
-        let closing = self.shares.close(&self.core);
+        let closing = self.shares.return_all(&self.core);
         // Tokens that are not handed back count as spent, which harms nobody long.
         drop(time::timeout(LAST_WORDS, closing).await);
         drop(self.admin);
@@ -329,7 +331,7 @@
 ) -> Result<core::Core, Error> {
     let peers = Arc::new(control::Peers::new(settings.control.peers.clone()));
     Ok(core::Core {
-        endpoints: gateway::Table::new(settings.entry.domain.clone()),
+        endpoints: gateway::Endpoints::new(settings.entry.domain.clone()),
         peers: Arc::clone(&peers),
         boot,
         clock,
@@ -337,7 +339,7 @@
         leader: control::Session::new(peers, Arc::clone(fleet)),
         limiter: Arc::clone(shares) as _,
         lending,
-        router: Arc::new(route::Scored::new(rand::random())),
+        router: Arc::new(route::least_loaded::Router::new(rand::random())),
         upstream: upstream::Clients::new()?,
         queues: Arc::new(queue::Queues::new(clock)),
         retries: Mutex::new(retry::Budget::new(FIRST_RETRY_SHARE)),
--- a/crates/cranberrygap-entry/src/relay.rs
+++ b/crates/cranberrygap-entry/src/relay.rs
@@ -27,7 +27,7 @@
 pub(crate) struct Relay {
     delivery: engine::Delivery,
     upstream: Upstream,
-    sent: Option<engine::Sent>,
+    sent: Option<engine::Attempt>,
     splitter: sse::Splitter,
     progress: policy::Stream,
     permit: admission::Permit,
@@ -41,16 +41,16 @@
     /// A relay of `answer`, which goes on over other engines when it breaks.
     pub(crate) fn new(
         delivery: engine::Delivery,
-        answer: engine::Answer,
+        answer: engine::Response,
         permit: admission::Permit,
         attained: attainment::Progress,
     ) -> Self {
-        let limit = delivery.call().body.max_tokens.0;
+        let limit = delivery.request().body.max_tokens.0;
         Self {
             delivery,
-            progress: policy::Stream::new(answer.attempt, limit),
+            progress: policy::Stream::new(answer.attempt_id, limit),
             upstream: Box::pin(answer.response.bytes_stream()),
-            sent: Some(answer.sent),
+            sent: Some(answer.attempt),
             splitter: sse::Splitter::default(),
             permit,
             attained,
@@ -90,9 +90,9 @@
 
     fn limit(&self) -> duration::Span {
         let limit = if self.opening {
-            engine::FIRST_BYTE
+            engine::FIRST_BYTE_TIMEOUT
         } else {
-            engine::BETWEEN_TOKENS
+            engine::TOKEN_TIMEOUT
         };
         limit.min(self.delivery.remaining())
     }
@@ -156,7 +156,7 @@
                 self.attained.token();
             }
         }
-        let estimate = self.delivery.call().body.prompt.0 + self.progress.delivered();
+        let estimate = self.delivery.request().body.prompt.0 + self.progress.delivered();
         self.permit
             .set_used(token::Count(chunk.total_tokens().unwrap_or(estimate)));
         decision
@@ -165,7 +165,7 @@
     fn end(&mut self) {
         self.attained.finish();
         if let Some(sent) = self.sent.as_mut() {
-            sent.answer();
+            sent.record_complete();
         }
         self.finished = true;
     }
@@ -181,15 +181,15 @@
         let Some(sent) = self.sent.take() else {
             return Some(self.broken(&Refusal::EndpointFailed));
         };
-        if let Err(refusal) = self.delivery.failed(evidence, sent).await {
+        if let Err(refusal) = self.delivery.handle_failure(evidence, sent).await {
             return Some(self.broken(&refusal));
         }
         match self.delivery.send(self.progress.delivered()).await {
             Err(refusal) => Some(self.broken(&refusal)),
             Ok(answer) => {
-                self.progress.resume(answer.attempt);
+                self.progress.resume(answer.attempt_id);
                 self.upstream = Box::pin(answer.response.bytes_stream());
-                self.sent = Some(answer.sent);
+                self.sent = Some(answer.attempt);
                 self.splitter = sse::Splitter::default();
                 self.opening = true;
                 None
@@ -201,7 +201,7 @@
     /// whole answer.
     fn broken(&mut self, refusal: &Refusal) -> Bytes {
         self.finished = true;
-        let refusal = refusal.to_wire(Some(&self.delivery.call().request));
+        let refusal = refusal.to_wire(Some(&self.delivery.request().id));
         let event = serde_json::json!({ "error": refusal });
         Bytes::from(format!("data: {event}\n\n"))
     }
--- a/crates/cranberrygap-entry/src/route.rs
+++ b/crates/cranberrygap-entry/src/route.rs
@@ -1,6 +1,6 @@
 //! Which endpoint serves a request.
 
-mod scored;
+pub(crate) mod least_loaded;
 
 use std::fmt;
 
@@ -10,14 +10,12 @@
 
 use crate::view;
 
-pub(crate) use scored::Scored;
-
 /// Endpoints that a request was already sent to. Retries are few.
 pub(crate) type Tried = SmallVec<[id::Endpoint; 3]>;
 
 /// What is wanted.
 #[derive(Debug)]
-pub(crate) struct Wanted<'request> {
+pub(crate) struct Query<'request> {
     /// The model, when a runner is wanted.
     pub model: Option<&'request id::Model>,
     /// The plain service, when one is wanted.
@@ -28,7 +26,7 @@
 
 /// The endpoint that was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Choice {
+pub(crate) struct Destination {
     /// Its name.
     pub endpoint: id::Endpoint,
     /// Where it listens.
@@ -45,23 +43,23 @@
     /// Where it listens.
     pub address: address::Socket,
     /// Whether this entry sent a request there of late.
-    pub used: bool,
+    pub recently_used: bool,
 }
 
 /// Chooses endpoints and learns from what becomes of the requests.
 pub(crate) trait Router: fmt::Debug + Send + Sync {
     /// An endpoint for the request, and counts the request as sent there.
-    fn choose(&self, now: duration::Instant, wanted: &Wanted<'_>) -> Option<Choice>;
+    fn choose(&self, now: duration::Instant, wanted: &Query<'_>) -> Option<Destination>;
     /// A request that was sent has ended; `failed` tells that the endpoint broke it.
-    fn ended(&self, now: duration::Instant, choice: &Choice, failed: bool);
+    fn record_ended(&self, now: duration::Instant, choice: &Destination, failed: bool);
     /// Takes over the endpoints of a new view.
-    fn follow(&self, view: &view::Snapshot);
+    fn apply_view(&self, view: &view::Snapshot);
     /// Takes a report of an endpoint.
-    fn report(&self, now: duration::Instant, report: &endpoint::Report);
+    fn apply_report(&self, now: duration::Instant, report: &endpoint::Report);
     /// The endpoint told this entry that it leaves.
-    fn leaving(&self, endpoint: &id::Endpoint);
+    fn mark_leaving(&self, endpoint: &id::Endpoint);
     /// Number of ready runners that hold a model.
-    fn holders(&self, model: &id::Model) -> usize;
+    fn ready_runner_count(&self, model: &id::Model) -> usize;
     /// All runners, and whether this entry used them of late.
     fn runners(&self, now: duration::Instant) -> Vec<Runner>;
     /// The whole state for a dump.
--- a/crates/cranberrygap-entry/src/route/scored.rs
+++ b/crates/cranberrygap-entry/src/route/least_loaded.rs
@@ -12,7 +12,7 @@
 
 use crate::view;
 
-use super::{Choice, Router, Runner, Wanted};
+use super::{Destination, Query, Runner};
 
 /// Time for which an endpoint that broke a request is used only when there is
 /// no other.
@@ -30,7 +30,7 @@
 
 /// Power of few choices over lagging reports, corrected by what was sent since.
 #[derive(Debug)]
-pub(crate) struct Scored {
+pub(crate) struct Router {
     inner: Mutex<Inner>,
 }
 
@@ -47,7 +47,7 @@
     used: BTreeMap<id::Endpoint, duration::Instant>,
 }
 
-impl Scored {
+impl Router {
     /// A router that knows no endpoint yet.
     pub(crate) fn new(seed: u64) -> Self {
         let inner = Inner {
@@ -68,7 +68,7 @@
 
 impl Inner {
     /// Ready endpoints that serve what is wanted and were not tried.
-    fn candidates(&self, wanted: &Wanted<'_>) -> Vec<id::Endpoint> {
+    fn candidates(&self, wanted: &Query<'_>) -> Vec<id::Endpoint> {
         let by_model = wanted.model.and_then(|model| self.by_model.get(model));
         let by_service = wanted
             .service
@@ -86,7 +86,7 @@
     }
 
     /// The best with a free seat, or else the emptiest.
-    fn best(&mut self, wanted: &Wanted<'_>, names: &[id::Endpoint]) -> Option<id::Endpoint> {
+    fn best(&mut self, wanted: &Query<'_>, names: &[id::Endpoint]) -> Option<id::Endpoint> {
         let first = match wanted.model {
             Some(_) => router::Fill::UpTo(1.0),
             None => ANY_FILL,
@@ -97,7 +97,7 @@
 
     fn draw(
         &mut self,
-        wanted: &Wanted<'_>,
+        wanted: &Query<'_>,
         names: &[id::Endpoint],
         fill: router::Fill,
     ) -> Option<id::Endpoint> {
@@ -149,8 +149,8 @@
     known.health == wire_view::Health::Ready && known.announcement.phase == endpoint::Phase::Ready
 }
 
-impl Router for Scored {
-    fn choose(&self, now: duration::Instant, wanted: &Wanted<'_>) -> Option<Choice> {
+impl super::Router for Router {
+    fn choose(&self, now: duration::Instant, wanted: &Query<'_>) -> Option<Destination> {
         let mut inner = self.inner.lock();
         let candidates = inner.candidates(wanted).into_iter();
         let (trusted, doubted): (Vec<_>, Vec<_>) =
@@ -160,14 +160,14 @@
         inner.router.sent(now, &best);
         inner.used.insert(best.clone(), now);
         let announcement = &inner.endpoints.get(&best)?.announcement;
-        Some(Choice {
+        Some(Destination {
             endpoint: best,
             address: announcement.address,
             boot: announcement.boot,
         })
     }
 
-    fn ended(&self, now: duration::Instant, choice: &Choice, failed: bool) {
+    fn record_ended(&self, now: duration::Instant, choice: &Destination, failed: bool) {
         let mut inner = self.inner.lock();
         if !inner.endpoints.contains_key(&choice.endpoint) {
             return;
@@ -178,7 +178,7 @@
         }
     }
 
-    fn follow(&self, view: &view::Snapshot) {
+    fn apply_view(&self, view: &view::Snapshot) {
         let mut inner = self.inner.lock();
         let known = view.endpoints();
         // Most revisions change something else; nothing is indexed anew for them.
@@ -203,18 +203,18 @@
         inner.index();
     }
 
-    fn report(&self, now: duration::Instant, report: &endpoint::Report) {
+    fn apply_report(&self, now: duration::Instant, report: &endpoint::Report) {
         let mut inner = self.inner.lock();
         if inner.endpoints.contains_key(&report.endpoint) {
             inner.router.reported(now, report);
         }
     }
 
-    fn leaving(&self, endpoint: &id::Endpoint) {
+    fn mark_leaving(&self, endpoint: &id::Endpoint) {
         self.inner.lock().left.insert(endpoint.clone());
     }
 
-    fn holders(&self, model: &id::Model) -> usize {
+    fn ready_runner_count(&self, model: &id::Model) -> usize {
         self.inner.lock().by_model.get(model).map_or(0, Vec::len)
     }
 
@@ -224,7 +224,7 @@
         let told = runners.map(|(name, known)| Runner {
             endpoint: name.clone(),
             address: known.announcement.address,
-            used: inner.used.get(name).is_some_and(|at| now.since(*at) < USE),
+            recently_used: inner.used.get(name).is_some_and(|at| now.since(*at) < USE),
         });
         told.collect()
     }
--- a/crates/cranberrygap-entry/src/server/announcements.rs
+++ b/crates/cranberrygap-entry/src/server/announcements.rs
@@ -64,7 +64,7 @@
     fn take(&self, announcement: endpoint::Announcement, response: &mut Response) {
         // A leave is acted on here at once; the others learn it through the log.
         if announcement.phase == endpoint::Phase::Leaving {
-            self.core.router.leaving(&announcement.endpoint);
+            self.core.router.mark_leaving(&announcement.endpoint);
             let about = note::About::default().at(&announcement.endpoint);
             let sentence = "it said that it leaves, and gets no new work from here";
             self.core.trace.note(&about, "leaving", sentence, &[]);
