--- a/crates/cranberrygap-bench/src/measure/policy/ours.rs
+++ b/crates/cranberrygap-bench/src/measure/policy/ours.rs
@@ -95,14 +95,14 @@
             bytes(fleet.deployment.memory / 100 * engine::KV_RESERVE),
         );
         for runner in 0..fleet.engines.len() {
-            ledger.enroll(&known(fleet, &names, runner, view::Health::Ready));
+            ledger.update_endpoint(&known(fleet, &names, runner, view::Health::Ready));
         }
         let limits = orders::limit::Limits::builder()
             .loads_per_second(fleet.deployment.loads_per_second)
-            .loads_at_once(fleet.deployment.loads_at_once)
-            .adapters_at_once(90)
-            .repeat_after(duration::Span::from_secs(2))
-            .longest_load(duration::Span::from_secs(20))
+            .concurrent_loads(fleet.deployment.loads_at_once)
+            .concurrent_adapter_loads(90)
+            .resend_after(duration::Span::from_secs(2))
+            .load_slot_timeout(duration::Span::from_secs(20))
             .build();
         let catalogue = names.catalogue(&fleet.items);
         let now = duration::Instant(fleet.now);
@@ -153,7 +153,7 @@
                 self.later(fleet, REPORT, Wake::EntryAsk { entry, runner });
             }
             Wake::EntryAnswer { entry, report } => {
-                self.entries[entry].router.reported(now, &report);
+                self.entries[entry].router.apply_report(now, &report);
                 self.pump(fleet, entry);
             }
             Wake::View(runner) => {
@@ -173,9 +173,9 @@
         let settings = plan::Settings::builder()
             .demand_per_accelerator(self.tuning.tokens_per_accelerator)
             .demand_per_gib(self.tuning.tokens_per_gib)
-            .high(self.tuning.high)
-            .margin(self.tuning.margin)
-            .added_at_once(self.tuning.added_at_once)
+            .max_utilisation(self.tuning.high)
+            .min_overflow_share(self.tuning.margin)
+            .max_added_copies(self.tuning.added_at_once)
             .build();
         let rates = running.estimator.rates(now);
         let executor = &running.executor;
@@ -263,7 +263,7 @@
     fn ask(&mut self, fleet: &mut Fleet, runner: usize) {
         if let Some(running) = &mut self.running {
             let endpoint = running.names.endpoints[runner].clone();
-            let ticket = running.executor.ledger_mut().ask(&endpoint);
+            let ticket = running.executor.ledger_mut().issue_ticket(&endpoint);
             if let (Some(ticket), true) = (ticket, fleet.engines[runner].alive) {
                 let report = running.report(fleet, runner);
                 let answer = Wake::Answer(ticket, report);
@@ -280,7 +280,7 @@
             return None;
         }
         let endpoint = &running.names.endpoints[runner];
-        let known = self.entries[entry].router.known(endpoint);
+        let known = self.entries[entry].router.endpoint(endpoint);
         let since = known.map_or(0, |peer| peer.prefix.sequence().0);
         let (events, sequence) = engine.events_since(since, &running.names.models);
         Some(endpoint::Report {
@@ -305,7 +305,7 @@
             return;
         };
         let known = known(fleet, &running.names, runner, health);
-        running.executor.ledger_mut().enroll(&known);
+        running.executor.ledger_mut().update_endpoint(&known);
     }
 
     fn pump(&mut self, fleet: &mut Fleet, entry: usize) {
@@ -351,13 +351,13 @@
         let now = duration::Instant(fleet.now);
         let endpoint = &running.names.endpoints[runner];
         let router = &mut self.entries[fleet.requests[request].entry].router;
-        router.ended(now, endpoint);
+        router.record_ended(now, endpoint);
         if let (true, Some(gap)) = (whole, fleet.gap(request)) {
             let load = router
-                .known(endpoint)
+                .endpoint(endpoint)
                 .map_or(0, |peer| peer.load.requests());
             let batch = f64::midpoint(f64::from(sent.load), f64::from(load + 1));
-            router.streamed(endpoint, batch, duration::Span(gap));
+            router.observe_token_interval(endpoint, batch, duration::Span(gap));
         }
     }
 
--- a/crates/cranberrygap-bench/src/measure/policy/ours/entry.rs
+++ b/crates/cranberrygap-bench/src/measure/policy/ours/entry.rs
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn new(tuning: &Tuning) -> Self {
         let settings = router::Settings::builder()
-            .choices(tuning.choices)
+            .sample_size(tuning.choices)
             .prefix_weight(tuning.prefix_weight)
             .build();
         Self {
@@ -68,7 +68,7 @@
             .queues
             .entry(asked.item)
             .or_insert_with(|| pending::Queue::new(late_after));
-        queue.push(pending::Waiting {
+        queue.push(pending::Request {
             request: name(request),
             model: names.models[asked.item].clone(),
             workspace: workspace.clone(),
@@ -126,17 +126,17 @@
                 let asked = fleet.requests[request];
                 let prompt = [u64::from(asked.prefix)];
                 let fill = match class {
-                    pending::Class::Timely => router::Fill::UpTo(1.0),
-                    pending::Class::Late if next.is_urgent(now) => router::Fill::Crowd(self.crowd),
-                    pending::Class::Late => router::Fill::UpTo(self.late_fill),
+                    pending::Class::Timely => router::Fill::Spread(1.0),
+                    pending::Class::Late if next.is_urgent(now) => router::Fill::Pack(self.crowd),
+                    pending::Class::Late => router::Fill::Spread(self.late_fill),
                 };
-                let question = router::Question {
+                let question = router::Request {
                     model: &next.model,
-                    prompt: &prompt,
+                    prompt_blocks: &prompt,
                     preferred,
-                    left: duration::Span(fleet.left(request)),
+                    time_left: duration::Span(fleet.left(request)),
                     fill,
-                    spill: if class == pending::Class::Timely {
+                    spill_fill: if class == pending::Class::Timely {
                         self.spill
                     } else {
                         0.0
@@ -146,12 +146,12 @@
                     router::Choice::Wait => break,
                     router::Choice::Refuse { .. } => fleet.refuse(request),
                     router::Choice::Dispatch(endpoint) => {
-                        self.router.sent(now, &endpoint);
+                        self.router.record_sent(now, &endpoint);
                         let runner = names.runner(&endpoint);
                         fleet.dispatch(request, runner);
                         let cost = f64::from(asked.prompt + asked.output);
                         *self.served.entry(next.workspace.clone()).or_default() += cost;
-                        let known = self.router.known(&endpoint);
+                        let known = self.router.endpoint(&endpoint);
                         let load = known.map_or(0, |peer| peer.load.requests());
                         sent.push(Sent {
                             request,
--- a/crates/cranberrygap-bench/src/measure/slopes.rs
+++ b/crates/cranberrygap-bench/src/measure/slopes.rs
@@ -112,7 +112,7 @@
         let (round, moves) = time_rounds(&ledger, &catalogue, &demand, arguments.rounds);
         let choice = time_choices(&reports, &mut rng, arguments.requests)?;
         for (runner, report) in reports.iter().enumerate().step_by(DOMAINS) {
-            ledger.enroll(&view::Endpoint {
+            ledger.update_endpoint(&view::Endpoint {
                 health: view::Health::Gone,
                 ..self.known(runner, report)?
             });
@@ -172,9 +172,9 @@
         let reserve = size::Bytes(64 * GIB);
         let mut ledger = ledger::Ledger::new(journal::Journal::default(), reserve);
         for (runner, report) in reports.iter().enumerate() {
-            ledger.enroll(&self.known(runner, report)?);
-            if let Some(ticket) = ledger.ask(&report.endpoint) {
-                ledger.observe(ticket, report);
+            ledger.update_endpoint(&self.known(runner, report)?);
+            if let Some(ticket) = ledger.issue_ticket(&report.endpoint) {
+                ledger.apply_report(ticket, report);
             }
         }
         Ok(ledger)
@@ -216,7 +216,7 @@
     let mut router = router::Router::new(router::Settings::builder().build());
     let now = duration::Instant(1_000_000);
     for report in reports {
-        router.reported(now, report);
+        router.apply_report(now, report);
     }
     let mut holders: BTreeMap<id::Model, Vec<id::Endpoint>> = BTreeMap::new();
     for report in reports {
@@ -230,19 +230,19 @@
     let started = Instant::now();
     for _request in 0..requests {
         let (model, endpoints) = models[rng.random_range(0..models.len())];
-        let question = router::Question {
+        let question = router::Request {
             model,
-            prompt: &[1, 2, 3, 4],
-            left: duration::Span::from_secs(60),
+            prompt_blocks: &[1, 2, 3, 4],
+            time_left: duration::Span::from_secs(60),
             preferred: &endpoints[..1],
-            fill: router::Fill::UpTo(1.0),
-            spill: 0.7,
+            fill: router::Fill::Spread(1.0),
+            spill_fill: 0.7,
         };
         let residency = router::Residency::Resident(endpoints);
         if let router::Choice::Dispatch(endpoint) = router.choose(rng, &question, &residency) {
             dispatched += 1;
-            router.sent(now, &endpoint);
-            router.ended(now, &endpoint);
+            router.record_sent(now, &endpoint);
+            router.record_ended(now, &endpoint);
         }
     }
     let passed = started.elapsed().as_secs_f64();
--- a/crates/cranberrygap-bench/src/soak/placement/world.rs
+++ b/crates/cranberrygap-bench/src/soak/placement/world.rs
@@ -243,7 +243,7 @@
     fn reported(&mut self, ticket: ledger::Ticket, report: endpoint::Report) {
         let ledger = self.leader.executor.ledger_mut();
         let ticket = if self.variant == Variant::TrustsOldReports {
-            ledger.ask(&report.endpoint).unwrap_or(ticket)
+            ledger.issue_ticket(&report.endpoint).unwrap_or(ticket)
         } else {
             ticket
         };
@@ -292,7 +292,7 @@
     fn ask(&mut self) {
         let number = self.rng.random_range(0..RUNNERS);
         let name = self.runners[number].name.clone();
-        if let Some(ticket) = self.leader.executor.ledger_mut().ask(&name) {
+        if let Some(ticket) = self.leader.executor.ledger_mut().issue_ticket(&name) {
             let question = Message::Question(self.leader.fence.0, number, ticket);
             self.fabric.send(&mut self.rng, self.now, question);
         }
@@ -334,7 +334,7 @@
 
     fn enroll(&mut self, number: usize, health: view::Health) {
         let known = known(&self.runners[number], health);
-        self.leader.executor.ledger_mut().enroll(&known);
+        self.leader.executor.ledger_mut().update_endpoint(&known);
     }
 
     fn shift_demand(&mut self) {
@@ -395,7 +395,7 @@
 ) -> Leader {
     let mut ledger = ledger::Ledger::new(journal.clone(), RESERVE);
     for runner in runners {
-        ledger.enroll(&known(runner, view::Health::Ready));
+        ledger.update_endpoint(&known(runner, view::Health::Ready));
     }
     let scale: u8 = if variant == Variant::IgnoresStore {
         5
@@ -404,10 +404,10 @@
     };
     let limits = orders::limit::Limits::builder()
         .loads_per_second(LOADS_PER_SECOND * f64::from(scale))
-        .loads_at_once(LOADS_AT_ONCE * usize::from(scale))
-        .adapters_at_once(90)
-        .repeat_after(duration::Span::from_secs(1))
-        .longest_load(LONGEST_LOAD)
+        .concurrent_loads(LOADS_AT_ONCE * usize::from(scale))
+        .concurrent_adapter_loads(90)
+        .resend_after(duration::Span::from_secs(1))
+        .load_slot_timeout(LONGEST_LOAD)
         .build();
     let catalogue = catalogue.clone();
     Leader {
--- a/crates/cranberrygap-bench/src/soak/residency/fleet.rs
+++ b/crates/cranberrygap-bench/src/soak/residency/fleet.rs
@@ -51,7 +51,7 @@
             adapter_slots: SLOTS,
             store_rate: STORE_RATE,
             models: models.collect(),
-            former: BTreeMap::new(),
+            former_models: BTreeMap::new(),
         };
         let demand = BTreeMap::new();
         let mut fleet = Self { engine, demand };
@@ -151,8 +151,8 @@
     engine::Weights {
         size: size::Bytes(gib * GIB),
         adapter_size: size::Bytes(adapter_mib << 20),
-        load: duration::Span::from_millis(3_000 + gib * 100),
-        warm: duration::Span::from_millis(400),
-        disk: duration::Span::from_millis(1_000),
+        load_from_store: duration::Span::from_millis(3_000 + gib * 100),
+        load_from_host: duration::Span::from_millis(400),
+        load_from_disk: duration::Span::from_millis(1_000),
     }
 }
--- a/crates/cranberrygap-bench/src/soak/residency/runner.rs
+++ b/crates/cranberrygap-bench/src/soak/residency/runner.rs
@@ -172,7 +172,7 @@
         if holds && self.manner.holds_first {
             return order::Verdict::Holds;
         }
-        let counts = self.manner.ignores_count || order.expect == self.accepted;
+        let counts = self.manner.ignores_count || order.expected_count == self.accepted;
         if self.work.is_some() || !counts {
             return order::Verdict::Conflict;
         }
@@ -244,11 +244,11 @@
             ));
         }
         let time = if self.cached.contains(model) {
-            weights.warm
+            weights.load_from_host
         } else if self.stored.contains(model) {
-            weights.disk
+            weights.load_from_disk
         } else {
-            weights.load
+            weights.load_from_store
         };
         self.accepted += 1;
         self.work = Some(Work {
--- a/crates/cranberrygap-bench/src/soak/residency/world.rs
+++ b/crates/cranberrygap-bench/src/soak/residency/world.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_placement::residency::{book, engine, order, runner as known};
+use cranberrygap_placement::residency::{engine, order, planner, runner as known};
 use cranberrygap_state::endpoint as state;
 use cranberrygap_wire::{endpoint, view};
 use rand::{Rng, SeedableRng};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Leader {
     number: u64,
-    book: book::Book,
+    book: planner::Planner,
 }
 
 /// The whole run.
@@ -213,17 +213,17 @@
     fn look(&mut self) {
         let book = &mut self.leader.book;
         let endpoints = self.endpoints.announcements();
-        book.follow(self.now, endpoints, |name| self.told.get(name).cloned());
+        book.update_endpoints(self.now, endpoints, |name| self.told.get(name).cloned());
         book.set_demand(self.now, self.fleet.demand.clone());
     }
 
     fn tick(&mut self) {
         for output in self.leader.book.tick(self.now) {
             match output {
-                book::Output::Send(order) => self.send(order),
-                book::Output::Ask(name) => self.ask(name),
-                book::Output::Tell(name) => self.tell(&name),
-                book::Output::Place(ticket, place) => self.placed(ticket, place),
+                planner::Output::Send(order) => self.send(order),
+                planner::Output::FetchReport(name) => self.ask(name),
+                planner::Output::PublishResidency(name) => self.tell(&name),
+                planner::Output::ResolveAdapter(ticket, place) => self.placed(ticket, place),
             }
         }
         for difference in self.leader.book.take_differences() {
@@ -232,11 +232,14 @@
     }
 
     fn send(&mut self, order: order::Order) {
-        let room = self.leader.book.room(self.now, &order.endpoint);
+        let room = self.leader.book.usage(self.now, &order.endpoint);
         self.note("sent", || {
             let room = room.map(|room| room.to_string()).unwrap_or_default();
             let (name, action) = (&order.endpoint, &order.action);
-            format!("{action} to {name} at count {}: {room}", order.expect)
+            format!(
+                "{action} to {name} at count {}: {room}",
+                order.expected_count
+            )
         });
         let (leader, plan) = (self.leader.number, self.plans.len() - 1);
         let fate = self.calls.fate(&mut self.rng);
@@ -279,27 +282,29 @@
             }
             Message::Answer(leader, name, number, verdict) if leader == in_office => {
                 self.note("answered", || format!("{verdict:?} by {name}"));
-                self.leader.book.answered(self.now, &name, number, verdict);
+                self.leader
+                    .book
+                    .handle_verdict(self.now, &name, number, verdict);
             }
             Message::GivenUp(leader, name, number) if leader == in_office => {
-                self.leader.book.unanswered(self.now, &name, number);
+                self.leader.book.handle_no_answer(self.now, &name, number);
             }
             Message::Question(leader, name) => self.question(leader, &name),
             Message::Report(leader, name, report) if leader == in_office => {
                 self.note("reported", || format!("{name} {report:?}"));
-                self.leader.book.reported(self.now, &name, &report);
+                self.leader.book.handle_report(self.now, &name, &report);
             }
             Message::Announcement(announcement) => self.announced(*announcement),
             Message::Telling(leader, told) => {
                 let name = told.endpoint.clone();
                 self.told.insert(name, told.clone());
                 if leader == in_office {
-                    self.leader.book.told(self.now, &told);
+                    self.leader.book.confirm_residency(self.now, &told);
                 }
             }
             Message::Request(name, adapter) => self.request(&name, adapter),
             Message::Want(name, adapter, missing) => self.want(&name, adapter, missing),
-            Message::Used(adapter) => self.leader.book.used(self.now, &adapter),
+            Message::Used(adapter) => self.leader.book.mark_adapter_used(self.now, &adapter),
             // Of an earlier leader.
             Message::Answer(..) | Message::GivenUp(..) | Message::Report(..) => {}
         }
@@ -323,7 +328,7 @@
             let (name, action) = (&order.endpoint, &order.action);
             format!(
                 "{action} at {name} of leader {leader}, count {}: {verdict:?}",
-                order.expect
+                order.expected_count
             )
         });
         if answered {
@@ -381,19 +386,22 @@
 
 fn take_office(number: u64, fleet: &Fleet, now: duration::Instant) -> Leader {
     let service = "lm".parse().expect("names of the run are valid");
-    let book = book::Book::new(service, fleet.engine.clone(), now, SUCCESSION);
+    let book = planner::Planner::new(service, fleet.engine.clone(), now, SUCCESSION);
     Leader { number, book }
 }
 
 fn residency(name: &id::Endpoint, runner: &known::Runner) -> view::Residency {
-    let adapters = runner.room.offered().filter_map(|((model, adapter), _)| {
-        let name = format!("{model}/{adapter}");
-        name.parse().ok()
-    });
+    let adapters = runner
+        .inventory
+        .offered_adapters()
+        .filter_map(|((model, adapter), _)| {
+            let name = format!("{model}/{adapter}");
+            name.parse().ok()
+        });
     view::Residency {
         endpoint: name.clone(),
         boot: runner.boot,
-        retiring: runner.leaving().cloned().into_iter().collect(),
+        retiring: runner.outgoing_model().cloned().into_iter().collect(),
         adapters: adapters.collect(),
     }
 }
--- a/crates/cranberrygap-bench/src/soak/residency/world/callers.rs
+++ b/crates/cranberrygap-bench/src/soak/residency/world/callers.rs
@@ -108,7 +108,7 @@
         self.callers.wanted += 1;
         let ticket = self.callers.tickets;
         let book = &mut self.leader.book;
-        book.want(self.now, ticket, &adapter, name, missing);
+        book.request_adapter(self.now, ticket, &adapter, name, missing);
         self.callers.waiting.insert(ticket, adapter);
         if missing {
             self.note("missing", || name.to_string());
--- a/crates/cranberrygap-control/src/orders.rs
+++ b/crates/cranberrygap-control/src/orders.rs
@@ -160,10 +160,10 @@
         let ledger = ledger::Ledger::new(fleet.orders.clone(), defaults.cache_reserve);
         let limits = orders::limit::Limits::builder()
             .loads_per_second(defaults.store_rate)
-            .loads_at_once(defaults.store_parallel as usize)
-            .adapters_at_once(defaults.adapter_parallel as usize)
-            .repeat_after(REPEAT_AFTER)
-            .longest_load(LONGEST_LOAD)
+            .concurrent_loads(defaults.store_parallel as usize)
+            .concurrent_adapter_loads(defaults.adapter_parallel as usize)
+            .resend_after(REPEAT_AFTER)
+            .load_slot_timeout(LONGEST_LOAD)
             .build();
         let listed = fleet.catalogue.models().to_vec();
         let catalogue = catalogue::Catalogue::new(&listed);
@@ -258,7 +258,7 @@
                 (Err(fault), journal::Record::Intended { order })
                     if fault.code != method::UNKNOWN_OUTCOME =>
                 {
-                    News::Input(since, orders::Input::Dropped(order))
+                    News::Input(since, orders::Input::NotCommitted(order))
                 }
                 (Err(_), _) => News::Unknown(since),
             };
@@ -296,7 +296,7 @@
         let Some(address) = leadership.address(name) else {
             return;
         };
-        let Some(ticket) = leadership.executor.ledger_mut().ask(name) else {
+        let Some(ticket) = leadership.executor.ledger_mut().issue_ticket(name) else {
             return;
         };
         let platform = Arc::clone(&self.platform);
@@ -327,14 +327,14 @@
         let ledger = self.executor.ledger_mut();
         let mut known: BTreeSet<id::Endpoint> = BTreeSet::new();
         for endpoint in fleet.endpoints.iter() {
-            ledger.enroll(&endpoint);
+            ledger.update_endpoint(&endpoint);
             known.insert(endpoint.announcement.endpoint);
         }
         ledger.retain(|name| known.contains(name));
         if fleet.catalogue.models() != self.listed {
             self.listed = fleet.catalogue.models().to_vec();
             self.executor
-                .catalogued(catalogue::Catalogue::new(&self.listed));
+                .set_catalogue(catalogue::Catalogue::new(&self.listed));
         }
     }
 
@@ -348,7 +348,7 @@
         let accounts = accounts.map(|(name, account)| {
             serde_json::json!({
                 "endpoint": name, "health": account.health, "memory": account.memory,
-                "taken": account.taken(), "reserve": account.reserve,
+                "taken": account.committed(), "reserve": account.reserve,
                 "resident": account.resident, "open": account.open,
                 "reported": account.boot.is_some(),
             })
--- a/crates/cranberrygap-control/src/residency.rs
+++ b/crates/cranberrygap-control/src/residency.rs
@@ -12,7 +12,7 @@
 
 use cranberrygap_link::{clock, server};
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_placement::residency::{book, order};
+use cranberrygap_placement::residency::{order, planner};
 use cranberrygap_state::command;
 use cranberrygap_wire::{method, traffic, view};
 use futures_util::future::BoxFuture;
@@ -221,7 +221,7 @@
         let books = held
             .into_iter()
             .flat_map(|leadership| leadership.books.values());
-        let wake = books.filter_map(book::Book::wake).min();
+        let wake = books.filter_map(planner::Planner::next_wake).min();
         wake.map_or(PERIOD, |wake| wake.since(self.clock.now()).to_std())
     }
 
@@ -245,10 +245,10 @@
             leadership.follow_plan(now, fleet);
             for book in leadership.books.values_mut() {
                 let endpoints = fleet.endpoints.announcements();
-                book.follow(now, endpoints, |name| fleet.residencies.get(name).cloned());
+                book.update_endpoints(now, endpoints, |name| fleet.residencies.get(name).cloned());
                 book.set_demand(now, demand.clone());
                 for adapter in &used {
-                    book.used(now, adapter);
+                    book.mark_adapter_used(now, adapter);
                 }
             }
         });
@@ -275,18 +275,18 @@
                 leadership.want(now, ticket, &want, answer);
             }
             News::Reported(of, service, name, report) if of == since => {
-                leadership.with(&service, |book| book.reported(now, &name, &report));
+                leadership.with(&service, |book| book.handle_report(now, &name, &report));
             }
             News::Answered(of, service, name, number, verdict) if of == since => {
                 leadership.with(&service, |book| {
-                    book.answered(now, &name, number, verdict);
+                    book.handle_verdict(now, &name, number, verdict);
                 });
             }
             News::Unanswered(of, service, name, number) if of == since => {
-                leadership.with(&service, |book| book.unanswered(now, &name, number));
+                leadership.with(&service, |book| book.handle_no_answer(now, &name, number));
             }
             News::Told(of, service, word) if of == since => {
-                leadership.with(&service, |book| book.told(now, &word));
+                leadership.with(&service, |book| book.confirm_residency(now, &word));
             }
             // Of an earlier term.
             _ => {}
@@ -319,17 +319,22 @@
         }
     }
 
-    fn carry_out(&self, leadership: &mut Leadership, service: id::Service, output: book::Output) {
+    fn carry_out(
+        &self,
+        leadership: &mut Leadership,
+        service: id::Service,
+        output: planner::Output,
+    ) {
         match output {
-            book::Output::Place(ticket, endpoint) => {
+            planner::Output::ResolveAdapter(ticket, endpoint) => {
                 if let Some(answer) = leadership.waiting.remove(&ticket) {
                     // An entry that has gone needs no answer.
                     drop(answer.send(endpoint));
                 }
             }
-            book::Output::Ask(name) => self.ask(leadership, service, name),
-            book::Output::Send(order) => self.send(leadership, service, order),
-            book::Output::Tell(name) => self.tell(leadership, service, &name),
+            planner::Output::FetchReport(name) => self.ask(leadership, service, name),
+            planner::Output::Send(order) => self.send(leadership, service, order),
+            planner::Output::PublishResidency(name) => self.tell(leadership, service, &name),
         }
     }
 
@@ -359,13 +364,13 @@
 
     fn send(&self, leadership: &Leadership, service: id::Service, order: order::Order) {
         let book = leadership.books.get(&service);
-        let room = book.and_then(|book| book.room(self.clock.now(), &order.endpoint));
+        let room = book.and_then(|book| book.usage(self.clock.now(), &order.endpoint));
         let room = room.map_or_else(SmolStr::default, |room| format_smolstr!("{room}"));
         spdlog::info!(
             "residency: orders {} from {} as its number {}: {room}",
             order.action,
             order.endpoint,
-            order.expect
+            order.expected_count
         );
         let (runners, news) = (Arc::clone(&self.runners), self.news.clone());
         let (holder, since) = (self.holder.clone(), leadership.since);
@@ -404,7 +409,7 @@
         let Some(runner) = runner else {
             return;
         };
-        let adapters = runner.room.offered();
+        let adapters = runner.inventory.offered_adapters();
         let adapters = adapters.filter_map(|((model, adapter), _)| {
             let name = format_smolstr!("{model}/{adapter}");
             name.parse().ok()
@@ -412,7 +417,7 @@
         let told = view::Residency {
             endpoint: name.clone(),
             boot: runner.boot,
-            retiring: runner.leaving().cloned().into_iter().collect(),
+            retiring: runner.outgoing_model().cloned().into_iter().collect(),
             adapters: adapters.collect(),
         };
         let (proposer, news) = (self.proposer.clone(), self.news.clone());
@@ -432,6 +437,6 @@
     let books = held
         .into_iter()
         .flat_map(|leadership| leadership.books.values());
-    let books: Vec<serde_json::Value> = books.map(book::Book::dump).collect();
+    let books: Vec<serde_json::Value> = books.map(planner::Planner::dump).collect();
     serde_json::json!(books)
 }
--- a/crates/cranberrygap-control/src/residency/leadership.rs
+++ b/crates/cranberrygap-control/src/residency/leadership.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id, number};
-use cranberrygap_placement::residency::{book, engine};
+use cranberrygap_placement::residency::{engine, planner};
 use cranberrygap_state::fleet;
 use cranberrygap_wire::traffic;
 use tokio::sync::oneshot;
@@ -18,7 +18,7 @@
 pub(super) struct Leadership {
     pub(super) term: number::Term,
     pub(super) since: duration::Instant,
-    pub(super) books: BTreeMap<id::Service, book::Book>,
+    pub(super) books: BTreeMap<id::Service, planner::Planner>,
     plan: Option<u64>,
     pub(super) waiting: BTreeMap<u64, oneshot::Sender<Option<id::Endpoint>>>,
 }
@@ -36,7 +36,7 @@
     }
 
     /// Changes the book of a service, if there is one.
-    pub(super) fn with(&mut self, service: &id::Service, work: impl FnOnce(&mut book::Book)) {
+    pub(super) fn with(&mut self, service: &id::Service, work: impl FnOnce(&mut planner::Planner)) {
         if let Some(book) = self.books.get_mut(service) {
             work(book);
         }
@@ -55,7 +55,7 @@
         };
         let adapter = (want.model.clone(), want.adapter.clone());
         self.waiting.insert(ticket, answer);
-        book.want(now, ticket, &adapter, &want.endpoint, want.expires);
+        book.request_adapter(now, ticket, &adapter, &want.endpoint, want.expires);
     }
 
     /// Takes over services and models, when the plan is a new one.
@@ -80,7 +80,7 @@
             }
             let wait = self.since.after(SUCCESSION).since(now);
             let name = service.service.clone();
-            let book = book::Book::new(name.clone(), engine, now, wait);
+            let book = planner::Planner::new(name.clone(), engine, now, wait);
             self.books.insert(name, book);
         }
         self.books.retain(|name, _| known.contains(name));
--- a/crates/cranberrygap-entry/src/gateway/delivery.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery.rs
@@ -286,7 +286,7 @@
         self.adapter = adapter.and_then(|adapter| control::Use::new(core, &model, adapter));
         let tokens = self.facts.ask.tokens.unwrap_or_default();
         let pace = core.endpoints.pace(&self.resolved.service, &model);
-        let work = pace.work(tokens.prompt, tokens.output, self.resolved.slots);
+        let work = pace.engine_time(tokens.prompt, tokens.output, self.resolved.slots);
         core.demand.asked(&model, adapter, work);
         Some((model, work))
     }
--- a/crates/cranberrygap-entry/src/gateway/delivery/aim.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/aim.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::pace;
+use cranberrygap_routing::prompt::latency;
 use cranberrygap_wire::{method, traffic};
 use smol_str::SmolStr;
 
@@ -208,15 +208,15 @@
     /// first event before it leaves and the whole answer in time.
     fn last_start(&self, model: &id::Model) -> duration::Instant {
         let pace = self.pace(model);
-        let first = pace.reading(self.prompt()).0 + pace.event().0 + MARGIN.0;
-        let whole = first + pace.answer(self.output()).0;
+        let first = pace.prefill_time(self.prompt()).0 + pace.event_interval().0 + MARGIN.0;
+        let whole = first + pace.answer_time(self.output()).0;
         let sign = self.facts.silence_ends(&self.resolved.route).0;
         let first = sign.saturating_sub(first);
         let whole = self.deadline().0.saturating_sub(whole);
         duration::Instant(first.min(whole))
     }
 
-    fn pace(&self, model: &id::Model) -> pace::Pace {
+    fn pace(&self, model: &id::Model) -> latency::Estimate {
         let endpoints = &self.gateway.core.endpoints;
         endpoints.pace(&self.resolved.service, model)
     }
@@ -318,11 +318,11 @@
     }
 
     /// Reading that an engine may get within the pause that its streams allow.
-    fn room(&self, pace: &pace::Pace, late: bool) -> duration::Span {
+    fn room(&self, pace: &latency::Estimate, late: bool) -> duration::Span {
         const ANY: duration::Span = duration::Span(u64::MAX);
         let rank = self.resolved.rank().min(TAKEN.len() - 1);
         let part = if late { TAKEN_LATE } else { TAKEN[rank] };
-        let event = pace.event();
+        let event = pace.event_interval();
         self.resolved.route.pause.map_or(ANY, |pause| {
             duration::Span(pause.scaled(part).0.saturating_sub(event.0))
         })
--- a/crates/cranberrygap-entry/src/gateway/dialect.rs
+++ b/crates/cranberrygap-entry/src/gateway/dialect.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::memory;
+use cranberrygap_routing::prompt::prefix_cache;
 use http::{HeaderMap, StatusCode};
 use smallvec::SmallVec;
 use smol_str::SmolStr;
@@ -27,7 +27,7 @@
     /// Prompt tokens and most generated tokens, where the caller counts them.
     pub tokens: Option<Tokens>,
     /// Parts of the prompt in order.
-    pub parts: SmallVec<[memory::Part; USUAL_PARTS]>,
+    pub parts: SmallVec<[prefix_cache::Part; USUAL_PARTS]>,
     /// Last event that the caller has of a stream that broke off.
     pub last_event: Option<SmolStr>,
 }
--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_routing::prompt::{engine, memory, pace, tally};
+use cranberrygap_routing::prompt::{backlog, latency, prefix_cache, selection};
 use cranberrygap_wire::view as wire_view;
 use parking_lot::Mutex;
 use smallvec::SmallVec;
@@ -47,14 +47,14 @@
     pub service: &'request id::Service,
     pub model: &'request id::Model,
     pub adapter: Option<&'request SmolStr>,
-    pub chain: &'request memory::Chain,
+    pub chain: &'request prefix_cache::Chain,
     pub rank: usize,
     pub prompt: u64,
     /// Reading that an engine may get within the last moments.
     pub room: duration::Span,
     /// Reading beside which a large prompt may go though it does not fit.
     pub grace: duration::Span,
-    pub pace: pace::Pace,
+    pub pace: latency::Estimate,
     pub slots: u32,
     pub tried: &'request Tried,
     /// Whether only engines count that hold the adapter.
@@ -96,7 +96,7 @@
 pub(crate) struct Table {
     domain: id::Domain,
     inner: Mutex<Inner>,
-    paces: Mutex<pace::Paces>,
+    paces: Mutex<latency::Estimator>,
     notices: notices::Outbox,
 }
 
@@ -114,7 +114,7 @@
 struct Heard {
     at: duration::Instant,
     sequence: u64,
-    tallies: BTreeMap<u32, tally::Tally>,
+    tallies: BTreeMap<u32, backlog::Backlog>,
 }
 
 impl Table {
@@ -157,49 +157,49 @@
             .collect();
         let trusted = trusted(now, &usable);
         let home = home(query, &trusted);
-        let candidates = trusted.iter().map(|node| engine::Candidate {
+        let candidates = trusted.iter().map(|node| selection::Candidate {
             endpoint: &node.endpoint,
-            tally: inner.tally(now, node),
-            recent: node.window.reading(now),
-            kept: node.memory.kept(now, query.chain),
-            home: home == Some(&node.endpoint),
-            near: node.near,
-            ready: ready(node),
-            failing: node.failures.part(now),
+            backlog: inner.tally(now, node),
+            recent_prefill: node.window.prefill_time(now),
+            cached_tokens: node.memory.cached_tokens(now, query.chain),
+            has_affinity: home == Some(&node.endpoint),
+            same_domain: node.near,
+            has_adapter: ready(node),
+            failure_rate: node.failures.part(now),
         });
-        let wanted = engine::Wanted {
+        let wanted = selection::Request {
             rank: query.rank,
-            prompt: query.prompt,
-            shared: query.chain.shared_tokens(),
-            room: query.room,
-            grace: query.grace,
-            pace: query.pace,
+            prompt_tokens: query.prompt,
+            shared_tokens: query.chain.shared_tokens(),
+            prefill_budget: query.room,
+            large_prompt_grace: query.grace,
+            latency: query.pace,
             slots: query.slots,
-            far: FAR,
-            fetch: FETCH,
+            remote_penalty: FAR,
+            adapter_penalty: FETCH,
         };
-        let choice = engine::choose(&wanted, candidates)?;
+        let choice = selection::choose(&wanted, candidates)?;
         let node = inner.nodes.get(&choice.endpoint)?;
         Some(Seat {
             ready: ready(node),
             place: node.place(),
-            first_event: choice.first_event,
-            fresh: choice.fresh,
-            reading: choice.reading,
-            backlog: choice.backlog,
-            before: choice.before,
+            first_event: choice.time_to_first_event,
+            fresh: choice.uncached_tokens,
+            reading: choice.prefill_time,
+            backlog: choice.queued_prefill,
+            before: choice.prefill_ahead,
             running: choice.running,
             fits: choice.fits(&wanted),
         })
     }
 
     /// What requests for a model take, as far as this entry saw.
-    pub(crate) fn pace(&self, service: &id::Service, model: &id::Model) -> pace::Pace {
-        self.paces.lock().of(service, model)
+    pub(crate) fn pace(&self, service: &id::Service, model: &id::Model) -> latency::Estimate {
+        self.paces.lock().estimate(service, model)
     }
 
     /// Learns from what came back.
-    pub(crate) fn learn(&self, work: impl FnOnce(&mut pace::Paces)) {
+    pub(crate) fn learn(&self, work: impl FnOnce(&mut latency::Estimator)) {
         work(&mut self.paces.lock());
     }
 
@@ -229,7 +229,7 @@
                 reason = "a part of one, times a small number"
             )]
             let failing = (node.failures.part(now) * FAILING_REQUESTS) as u32;
-            let mixed = memory::affinity(now.0, &node.endpoint);
+            let mixed = prefix_cache::affinity(now.0, &node.endpoint);
             (running + far + failing, mixed)
         });
         best.map(Node::place)
@@ -248,24 +248,24 @@
         place: &Place,
         rank: usize,
         reading: u32,
-        chain: Option<&memory::Chain>,
+        chain: Option<&prefix_cache::Chain>,
     ) {
         self.change(place, |node| {
-            node.own.sent(rank, reading);
+            node.own.add(rank, reading);
             if let Some(chain) = chain {
-                node.memory.sent(now, chain);
+                node.memory.record_sent(now, chain);
             }
         });
     }
 
     /// A prompt was read.
     pub(crate) fn read(&self, place: &Place, rank: usize, reading: u32) {
-        self.change(place, |node| node.own.read(rank, reading));
+        self.change(place, |node| node.own.finish_prefill(rank, reading));
     }
 
     /// A request has ended.
     pub(crate) fn ended(&self, place: &Place) {
-        self.change(place, |node| node.own.ended());
+        self.change(place, |node| node.own.finish_request());
     }
 
     /// Whether an endpoint answered a request as it should.
@@ -307,7 +307,7 @@
     }
 
     /// What this entry has sent, for the others.
-    pub(crate) fn own(&self) -> Vec<(u32, tally::Tally)> {
+    pub(crate) fn own(&self) -> Vec<(u32, backlog::Backlog)> {
         let inner = self.inner.lock();
         let nodes = inner.nodes.values();
         let busy = nodes.filter(|node| !node.own.is_empty());
@@ -320,7 +320,7 @@
         now: duration::Instant,
         from: address::Socket,
         sequence: u64,
-        tallies: Vec<(u32, tally::Tally)>,
+        tallies: Vec<(u32, backlog::Backlog)>,
     ) {
         let mut inner = self.inner.lock();
         let known = inner.others.get(&from);
@@ -386,11 +386,11 @@
     }
 
     /// Own sends and those that other entries told of.
-    fn tally(&self, now: duration::Instant, node: &Node) -> tally::Tally {
+    fn tally(&self, now: duration::Instant, node: &Node) -> backlog::Backlog {
         let others = self.others.values();
         let fresh = others.filter(|heard| now.since(heard.at) < STALE);
         let told = fresh.filter_map(|heard| heard.tallies.get(&node.digest));
-        told.fold(node.own, tally::Tally::and)
+        told.fold(node.own, backlog::Backlog::combined)
     }
 }
 
@@ -408,5 +408,5 @@
 fn home<'nodes>(query: &Query<'_>, nodes: &[&'nodes Node]) -> Option<&'nodes id::Endpoint> {
     let session = query.chain.session()?;
     let names = nodes.iter().map(|node| &node.endpoint);
-    names.max_by_key(|name| memory::affinity(session, name))
+    names.max_by_key(|name| prefix_cache::affinity(session, name))
 }
--- a/crates/cranberrygap-entry/src/gateway/endpoints/node.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/node.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_routing::prompt::{memory, tally, window};
+use cranberrygap_routing::prompt::{backlog, prefix_cache, window};
 use cranberrygap_wire::{endpoint, view};
 use smol_str::SmolStr;
 
@@ -31,10 +31,10 @@
     pub models: BTreeSet<SmolStr>,
     pub adapters: BTreeSet<SmolStr>,
     pub retiring: Vec<id::Model>,
-    pub own: tally::Tally,
+    pub own: backlog::Backlog,
     /// Prompts that any entry sent there within the last moments.
     pub window: window::Window,
-    pub memory: memory::Memory,
+    pub memory: prefix_cache::Tracker,
     pub failures: Failures,
     pub unreachable: Option<duration::Instant>,
     pub digest: u32,
@@ -162,7 +162,7 @@
 /// A short name for messages between entries.
 fn digest(endpoint: &id::Endpoint) -> u32 {
     const SEED: u64 = 0;
-    let long = memory::affinity(SEED, endpoint);
+    let long = prefix_cache::affinity(SEED, endpoint);
     let [_, _, _, _, tail @ ..] = long.to_be_bytes();
     u32::from_be_bytes(tail)
 }
--- a/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
@@ -46,7 +46,7 @@
         let Some(node) = inner.nodes.get_mut(&place.endpoint) else {
             return;
         };
-        node.window.sent(now, reading);
+        node.window.record(now, reading);
         let digest = node.digest;
         drop(inner);
         if reading < SMALLEST {
@@ -84,12 +84,12 @@
         for notice in notices {
             let mut nodes = inner.nodes.values_mut();
             if let Some(node) = nodes.find(|node| node.digest == notice.digest) {
-                node.window.sent(now, notice.reading);
+                node.window.record(now, notice.reading);
             }
             // Until it tells of all it has sent, which takes the place of this.
             if let Some(heard) = inner.others.get_mut(&from) {
                 let tally = heard.tallies.entry(notice.digest).or_default();
-                tally.sent(usize::from(notice.rank), notice.reading);
+                tally.add(usize::from(notice.rank), notice.reading);
             }
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/flight.rs
+++ b/crates/cranberrygap-entry/src/gateway/flight.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::memory;
+use cranberrygap_routing::prompt::prefix_cache;
 
 use crate::core;
 
@@ -46,7 +46,7 @@
         core: &Arc<core::Core>,
         aim: &delivery::Aim,
         rank: usize,
-        chain: Option<&memory::Chain>,
+        chain: Option<&prefix_cache::Chain>,
     ) -> Self {
         let reading = u32::try_from(aim.reading.0).unwrap_or(u32::MAX);
         let sent = core.now();
@@ -77,12 +77,12 @@
                 let took = now.since(self.sent);
                 self.core
                     .endpoints
-                    .learn(|paces| paces.learn_first(service, model, before, fresh, took));
+                    .learn(|paces| paces.observe_first_event(service, model, before, fresh, took));
             }
         } else if let Some(pause) = pause {
             self.core
                 .endpoints
-                .learn(|paces| paces.learn_pause(service, model, pause));
+                .learn(|paces| paces.observe_event_interval(service, model, pause));
         }
     }
 
@@ -91,7 +91,7 @@
         if let (Some(lesson), Some(first)) = (&self.lesson, self.first) {
             let took = now.since(first);
             self.core.endpoints.learn(|paces| {
-                paces.learn_answer(&lesson.service, &lesson.model, lesson.output, took);
+                paces.observe_answer(&lesson.service, &lesson.model, lesson.output, took);
             });
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cranberrygap_model::address;
-use cranberrygap_routing::prompt::tally;
+use cranberrygap_routing::prompt::backlog;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 use tokio::time;
@@ -38,7 +38,7 @@
     /// All that waits at engines because of it.
     All {
         sequence: u64,
-        tallies: Vec<(u32, tally::Tally)>,
+        tallies: Vec<(u32, backlog::Backlog)>,
     },
     /// Prompts that it has just sent.
     Sent(Vec<endpoints::Notice>),
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_policy::limits::holder;
-use cranberrygap_routing::prompt::{memory, tally};
+use cranberrygap_routing::prompt::{backlog, prefix_cache};
 use cranberrygap_state::traffic as state;
 use cranberrygap_wire::traffic;
 use http::uri::PathAndQuery;
@@ -61,7 +61,7 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     pub ask: dialect::Ask,
-    pub chain: memory::Chain,
+    pub chain: prefix_cache::Chain,
     pub arrived: duration::Instant,
     /// Draws the part of a split route, the same for all its sends.
     pub roll: f64,
@@ -99,7 +99,7 @@
 
     /// Rank as the endpoints tells ranks apart.
     pub(crate) fn rank(&self) -> usize {
-        (self.priority() as usize).min(tally::RANKS - 1)
+        (self.priority() as usize).min(backlog::RANKS - 1)
     }
 }
 
@@ -300,7 +300,7 @@
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let model = ask.model.as_ref().map_or("", id::Model::as_str);
-    let chain = memory::Chain::new(model, ask.adapter.as_deref(), &ask.parts);
+    let chain = prefix_cache::Chain::new(model, ask.adapter.as_deref(), &ask.parts);
     let mut headers = head.headers;
     answer::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
--- a/crates/cranberrygap-entry/src/route/scored.rs
+++ b/crates/cranberrygap-entry/src/route/scored.rs
@@ -26,7 +26,7 @@
 const LEFT: duration::Span = duration::Span::from_secs(1);
 
 /// A bound that no endpoint reaches: the emptiest takes the request.
-const ANY_FILL: router::Fill = router::Fill::UpTo(f64::MAX);
+const ANY_FILL: router::Fill = router::Fill::Spread(f64::MAX);
 
 /// Power of few choices over lagging reports, corrected by what was sent since.
 #[derive(Debug)]
@@ -88,7 +88,7 @@
     /// The best with a free seat, or else the emptiest.
     fn best(&mut self, wanted: &Wanted<'_>, names: &[id::Endpoint]) -> Option<id::Endpoint> {
         let first = match wanted.model {
-            Some(_) => router::Fill::UpTo(1.0),
+            Some(_) => router::Fill::Spread(1.0),
             None => ANY_FILL,
         };
         self.draw(wanted, names, first)
@@ -109,13 +109,13 @@
             none = names.first()?.as_str().parse().ok()?;
             &none
         };
-        let question = router::Question {
+        let question = router::Request {
             model,
-            prompt: &[],
-            left: LEFT,
+            prompt_blocks: &[],
+            time_left: LEFT,
             preferred: &[],
             fill,
-            spill: 0.0,
+            spill_fill: 0.0,
         };
         let residency = router::Residency::Resident(names);
         match self.router.choose(&mut self.rng, &question, &residency) {
@@ -157,7 +157,7 @@
             candidates.partition(|name| inner.is_trusted(now, name));
         let names = if trusted.is_empty() { doubted } else { trusted };
         let best = inner.best(wanted, &names)?;
-        inner.router.sent(now, &best);
+        inner.router.record_sent(now, &best);
         inner.used.insert(best.clone(), now);
         let announcement = &inner.endpoints.get(&best)?.announcement;
         Some(Choice {
@@ -172,7 +172,7 @@
         if !inner.endpoints.contains_key(&choice.endpoint) {
             return;
         }
-        inner.router.ended(now, &choice.endpoint);
+        inner.router.record_ended(now, &choice.endpoint);
         if failed {
             inner.failed.insert(choice.endpoint.clone(), now);
         }
@@ -206,7 +206,7 @@
     fn report(&self, now: duration::Instant, report: &endpoint::Report) {
         let mut inner = self.inner.lock();
         if inner.endpoints.contains_key(&report.endpoint) {
-            inner.router.reported(now, report);
+            inner.router.apply_report(now, report);
         }
     }
 
@@ -232,11 +232,11 @@
     fn dump(&self) -> serde_json::Value {
         let inner = self.inner.lock();
         let shown = inner.endpoints.iter().map(|(name, known)| {
-            let load = inner.router.known(name).map(|peer| &peer.load);
+            let load = inner.router.endpoint(name).map(|peer| &peer.load);
             let state = serde_json::json!({
                 "ready": is_ready(known) && !inner.left.contains(name),
-                "in_flight": load.map(load::Load::own),
-                "requests": load.map(load::Load::requests),
+                "in_flight": load.map(load::Estimate::own_requests),
+                "requests": load.map(load::Estimate::requests),
             });
             (name.to_string(), state)
         });
--- a/crates/cranberrygap-placement/src/ledger.rs
+++ b/crates/cranberrygap-placement/src/ledger.rs
@@ -48,7 +48,7 @@
     }
 
     /// Takes over what the replicated state says of an endpoint.
-    pub fn enroll(&mut self, known: &view::Endpoint) {
+    pub fn update_endpoint(&mut self, known: &view::Endpoint) {
         let announcement = &known.announcement;
         if announcement.kind != endpoint::Kind::Runner {
             return;
@@ -73,7 +73,7 @@
     }
 
     /// Starts a question for a report; earlier questions become void.
-    pub fn ask(&mut self, endpoint: &id::Endpoint) -> Option<Ticket> {
+    pub fn issue_ticket(&mut self, endpoint: &id::Endpoint) -> Option<Ticket> {
         let account = self.accounts.get_mut(endpoint)?;
         account.question += 1;
         Some(Ticket(account.question))
@@ -83,7 +83,11 @@
     ///
     /// The orders stay counted until those records come back through
     /// [`Ledger::apply`].
-    pub fn observe(&mut self, ticket: Ticket, report: &endpoint::Report) -> Vec<journal::Record> {
+    pub fn apply_report(
+        &mut self,
+        ticket: Ticket,
+        report: &endpoint::Report,
+    ) -> Vec<journal::Record> {
         let floor = self.journal.floors.get(&report.endpoint).copied();
         let Some(account) = self.accounts.get_mut(&report.endpoint) else {
             return Vec::new();
--- a/crates/cranberrygap-placement/src/ledger/account.rs
+++ b/crates/cranberrygap-placement/src/ledger/account.rs
@@ -56,7 +56,7 @@
 
     /// Memory that is taken if every open order took effect, with the KV reserve.
     #[must_use]
-    pub fn taken(&self) -> size::Bytes {
+    pub fn committed(&self) -> size::Bytes {
         let resident: u64 = self.resident.values().map(|size| size.0).sum();
         let loads = self.open.values().filter_map(|order| match &order.action {
             endpoint::Action::Load { model, size } if !self.resident.contains_key(model) => {
@@ -70,7 +70,7 @@
     /// Memory for further loads.
     #[must_use]
     pub fn free(&self) -> size::Bytes {
-        size::Bytes(self.memory.0.saturating_sub(self.taken().0))
+        size::Bytes(self.memory.0.saturating_sub(self.committed().0))
     }
 
     /// Whether the endpoint may get orders.
--- a/crates/cranberrygap-placement/src/orders.rs
+++ b/crates/cranberrygap-placement/src/orders.rs
@@ -21,7 +21,7 @@
     /// A proposed record was committed.
     Committed(journal::Record),
     /// A proposed intent certainly did not enter the log.
-    Dropped(endpoint::Order),
+    NotCommitted(endpoint::Order),
     /// An endpoint answered an order.
     Answered(endpoint::Verdict),
     /// An endpoint answered a question for its report.
@@ -118,7 +118,7 @@
     }
 
     /// Replaces the store's list.
-    pub fn catalogued(&mut self, catalogue: catalogue::Catalogue) {
+    pub fn set_catalogue(&mut self, catalogue: catalogue::Catalogue) {
         self.catalogue = catalogue;
     }
 
@@ -130,7 +130,7 @@
                 self.issue(now)
             }
             Input::Committed(record) => self.committed(now, &record),
-            Input::Dropped(order) => {
+            Input::NotCommitted(order) => {
                 self.ledger.withdraw(&order);
                 self.flights.remove(&order.order);
                 Vec::new()
@@ -140,7 +140,7 @@
                 self.end(now, record.into_iter().collect())
             }
             Input::Reported(ticket, report) => {
-                let records = self.ledger.observe(ticket, &report);
+                let records = self.ledger.apply_report(ticket, &report);
                 self.end(now, records)
             }
             Input::Tick => {
@@ -204,7 +204,7 @@
             let Some(flight) = self.flights.get_mut(&order.order) else {
                 continue;
             };
-            if now.since(flight.sent) < self.limits.repeat_after {
+            if now.since(flight.sent) < self.limits.resend_after {
                 continue;
             }
             flight.sent = now;
@@ -260,9 +260,9 @@
             return true;
         };
         if self.catalogue.is_adapter(model) {
-            return self.in_flight(now, true) < self.limits.adapters_at_once;
+            return self.in_flight(now, true) < self.limits.concurrent_adapter_loads;
         }
-        self.in_flight(now, false) < self.limits.loads_at_once && self.bucket.has(now)
+        self.in_flight(now, false) < self.limits.concurrent_loads && self.bucket.has(now)
     }
 
     fn spend(&mut self, now: duration::Instant, wish: &plan::Move) {
@@ -288,7 +288,7 @@
         let recent = |order: &endpoint::Order| {
             self.flights
                 .get(&order.order)
-                .is_some_and(|flight| now.since(flight.first) < self.limits.longest_load)
+                .is_some_and(|flight| now.since(flight.first) < self.limits.load_slot_timeout)
         };
         let accounts = self.ledger.accounts().values();
         let open = accounts.flat_map(|account| account.open.values());
--- a/crates/cranberrygap-placement/src/orders/limit.rs
+++ b/crates/cranberrygap-placement/src/orders/limit.rs
@@ -8,13 +8,13 @@
     /// Loads of base models that may start each second.
     pub loads_per_second: f64,
     /// Loads of base models at once at full speed.
-    pub loads_at_once: usize,
+    pub concurrent_loads: usize,
     /// Loads of adapters at once; beyond it each takes longer.
-    pub adapters_at_once: usize,
+    pub concurrent_adapter_loads: usize,
     /// Time after which an order without proven result is sent again.
-    pub repeat_after: duration::Span,
+    pub resend_after: duration::Span,
     /// Longest time for which a load keeps its slot.
-    pub longest_load: duration::Span,
+    pub load_slot_timeout: duration::Span,
 }
 
 /// Starts of loads that are still free.
--- a/crates/cranberrygap-placement/src/plan.rs
+++ b/crates/cranberrygap-placement/src/plan.rs
@@ -34,13 +34,13 @@
     pub copies: usize,
     /// Part of a runner's capacity that is assigned; the rest is for bursts.
     #[builder(default = 0.8)]
-    pub high: f64,
+    pub max_utilisation: f64,
     /// Part of a model's demand that must be left over before a copy is added.
     #[builder(default = 0.1)]
-    pub margin: f64,
+    pub min_overflow_share: f64,
     /// Copies that are added for demand in one round at most.
     #[builder(default = 6)]
-    pub added_at_once: usize,
+    pub max_added_copies: usize,
 }
 
 /// What one round wants.
--- a/crates/cranberrygap-placement/src/plan/demand.rs
+++ b/crates/cranberrygap-placement/src/plan/demand.rs
@@ -16,7 +16,7 @@
         .collect();
     let overflow = |number: &usize| draft.models[*number].overflow;
     numbers.sort_by(|a, b| overflow(b).total_cmp(&overflow(a)));
-    numbers.truncate(draft.settings.added_at_once);
+    numbers.truncate(draft.settings.max_added_copies);
     for number in numbers {
         add(draft, number);
     }
@@ -26,13 +26,13 @@
     let model = &draft.models[number];
     // A copy that is being loaded will bring relief, and was counted with it.
     let loading = model.copies.iter().any(|copy| !copy.serves);
-    !loading && model.overflow > draft.settings.margin * model.demand
+    !loading && model.overflow > draft.settings.min_overflow_share * model.demand
 }
 
 fn add(draft: &mut draft::Draft<'_>, number: usize) {
     let model = &draft.models[number];
     let footprint = model.footprint;
-    let least = model.weight + draft.settings.margin * model.overflow;
+    let least = model.weight + draft.settings.min_overflow_share * model.overflow;
     let mut targets: Vec<usize> = (0..draft.runners.len())
         .filter(|runner| {
             let state = &draft.runners[*runner];
--- a/crates/cranberrygap-placement/src/plan/draft.rs
+++ b/crates/cranberrygap-placement/src/plan/draft.rs
@@ -278,7 +278,7 @@
                 free: account.free().0,
                 capacity: f64::from(account.accelerators.max(1))
                     * settings.demand_per_accelerator
-                    * settings.high,
+                    * settings.max_utilisation,
                 load: 0.0,
                 models: Vec::new(),
             }
--- a/crates/cranberrygap-placement/src/residency.rs
+++ b/crates/cranberrygap-placement/src/residency.rs
@@ -6,11 +6,11 @@
 //! arrives long after newer ones. That bounds what a runner can be made to hold
 //! without a log of what was sent.
 
-pub mod book;
-pub mod ceiling;
+pub mod diagnostics;
 pub mod engine;
+pub mod inventory;
+pub mod load_bucket;
 pub mod order;
-pub mod plan;
-pub mod room;
+pub mod planner;
+pub mod rebalance;
 pub mod runner;
-pub mod trace;
--- a/crates/cranberrygap-placement/src/residency/trace.rs
+++ b/crates/cranberrygap-placement/src/residency/diagnostics.rs
@@ -21,7 +21,7 @@
 
 /// The last word on a runner's models.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct Observation {
     /// Whose it was.
     pub source: Source,
     /// When it came.
@@ -30,7 +30,7 @@
 
 /// A runner's room as the book counts it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Room {
+pub struct Usage {
     /// Models that take memory.
     pub models: BTreeSet<id::Model>,
     /// Adapters that take a place.
@@ -42,7 +42,7 @@
     /// Memory that there is.
     pub memory: size::Bytes,
     /// The last word on it.
-    pub word: Word,
+    pub word: Observation,
     /// Time since then.
     pub age: duration::Span,
 }
@@ -53,28 +53,28 @@
     /// The runner.
     pub endpoint: id::Endpoint,
     /// The word before.
-    pub before: Word,
+    pub before: Observation,
     /// The word that differs.
-    pub word: Word,
+    pub word: Observation,
     /// Models that only the book had.
-    pub fewer: BTreeSet<id::Model>,
+    pub missing: BTreeSet<id::Model>,
     /// Models that only the new word has.
-    pub more: BTreeSet<id::Model>,
+    pub unexpected: BTreeSet<id::Model>,
 }
 
-impl Room {
+impl Usage {
     /// The room of a runner at `now`.
     #[must_use]
     pub fn new(now: duration::Instant, engine: &engine::Engine, runner: &runner::Runner) -> Self {
-        let adapters = runner.room.adapters().keys().map(|(model, _)| model);
+        let adapters = runner.inventory.adapters().keys().map(|(model, _)| model);
         Self {
-            models: runner.room.models().clone(),
-            adapters: runner.room.adapters().len(),
+            models: runner.inventory.models().clone(),
+            adapters: runner.inventory.adapters().len(),
             slots: engine.adapter_slots,
-            taken: size::Bytes(engine.taken(runner.room.models().iter(), adapters)),
+            taken: size::Bytes(engine.taken(runner.inventory.models().iter(), adapters)),
             memory: engine.memory,
-            word: runner.room.word(),
-            age: now.since(runner.room.word().at),
+            word: runner.inventory.word(),
+            age: now.since(runner.inventory.word().at),
         }
     }
 }
@@ -87,9 +87,9 @@
         endpoint: &id::Endpoint,
         runner: &runner::Runner,
         models: &BTreeSet<id::Model>,
-        word: Word,
+        word: Observation,
     ) -> Option<Self> {
-        let known = runner.room.models();
+        let known = runner.inventory.models();
         let under_way = runner.under_way();
         let stays = |model: &&id::Model| Some(*model) != under_way;
         let fewer: BTreeSet<_> = known.difference(models).filter(stays).cloned().collect();
@@ -97,10 +97,10 @@
         let differs = !fewer.is_empty() || !more.is_empty();
         differs.then(|| Self {
             endpoint: endpoint.clone(),
-            before: runner.room.word(),
+            before: runner.inventory.word(),
             word,
-            fewer,
-            more,
+            missing: fewer,
+            unexpected: more,
         })
     }
 }
@@ -115,7 +115,7 @@
     }
 }
 
-impl fmt::Display for Room {
+impl fmt::Display for Usage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let age = self.age.as_secs_f64();
         write!(f, "taken={} of {} models=", self.taken, self.memory)?;
@@ -130,9 +130,9 @@
         let later = self.word.at.since(self.before.at).as_secs_f64();
         write!(f, "{} says {} ", self.endpoint, self.word.source)?;
         write!(f, "{later:.2} s after {}: fewer=", self.before.source)?;
-        list(f, &self.fewer)?;
+        list(f, &self.missing)?;
         write!(f, " more=")?;
-        list(f, &self.more)
+        list(f, &self.unexpected)
     }
 }
 
--- a/crates/cranberrygap-placement/src/residency/engine.rs
+++ b/crates/cranberrygap-placement/src/residency/engine.rs
@@ -5,8 +5,8 @@
 use cranberrygap_model::{duration, id, size};
 use cranberrygap_wire::traffic;
 
+use super::inventory;
 use super::order;
-use super::room;
 
 /// Room and models of one service's runners.
 #[derive(Debug, Clone, PartialEq)]
@@ -20,7 +20,7 @@
     /// The models by name.
     pub models: BTreeMap<id::Model, Weights>,
     /// Models that have left the plan; a runner may hold one still.
-    pub former: BTreeMap<id::Model, Weights>,
+    pub former_models: BTreeMap<id::Model, Weights>,
 }
 
 /// One model.
@@ -31,11 +31,11 @@
     /// Memory that one of its adapters takes.
     pub adapter_size: size::Bytes,
     /// Time of a load from the weight store.
-    pub load: duration::Span,
+    pub load_from_store: duration::Span,
     /// Time of a load from host memory.
-    pub warm: duration::Span,
+    pub load_from_host: duration::Span,
     /// Time of a load from the runner's disk.
-    pub disk: duration::Span,
+    pub load_from_disk: duration::Span,
 }
 
 impl Engine {
@@ -46,9 +46,9 @@
             let weights = Weights {
                 size: model.size,
                 adapter_size: model.adapter_size,
-                load: model.load,
-                warm: model.warm,
-                disk: model.disk,
+                load_from_store: model.load,
+                load_from_host: model.warm,
+                load_from_disk: model.disk,
             };
             (model.model.clone(), weights)
         });
@@ -57,7 +57,7 @@
             adapter_slots: engine.adapter_slots as usize,
             store_rate: engine.store_rate,
             models: models.collect(),
-            former: BTreeMap::new(),
+            former_models: BTreeMap::new(),
         }
     }
 
@@ -67,14 +67,14 @@
     /// that it ever had.
     #[must_use]
     pub fn following(mut self, before: &Self) -> Self {
-        for (model, old) in before.former.iter().chain(&before.models) {
+        for (model, old) in before.former_models.iter().chain(&before.models) {
             match self.models.get_mut(model) {
                 Some(weights) => {
                     weights.size = weights.size.max(old.size);
                     weights.adapter_size = weights.adapter_size.max(old.adapter_size);
                 }
                 None => {
-                    self.former.insert(model.clone(), *old);
+                    self.former_models.insert(model.clone(), *old);
                 }
             }
         }
@@ -90,7 +90,7 @@
         let loads = self
             .models
             .values()
-            .map(|weights| weights.load.as_secs_f64());
+            .map(|weights| weights.load_from_store.as_secs_f64());
         let mean = loads.sum::<f64>() / self.models.len().max(1) as f64;
         #[expect(
             clippy::cast_possible_truncation,
@@ -103,7 +103,7 @@
 
     /// Whether a runner has room for what an order loads.
     #[must_use]
-    pub fn fits(&self, room: &room::Room, action: &order::Action) -> bool {
+    pub fn fits(&self, room: &inventory::Inventory, action: &order::Action) -> bool {
         let models = room.models().iter();
         let adapters = room.adapters().keys().map(|(model, _)| model);
         match action {
@@ -144,8 +144,11 @@
     }
 
     fn largest(&self, model: &id::Model, size: impl Fn(&Weights) -> u64) -> u64 {
-        let known = self.models.get(model).or_else(|| self.former.get(model));
-        let all = self.models.values().chain(self.former.values());
+        let known = self
+            .models
+            .get(model)
+            .or_else(|| self.former_models.get(model));
+        let all = self.models.values().chain(self.former_models.values());
         let most = || all.map(&size).max().unwrap_or_default();
         known.map_or_else(most, &size)
     }
--- a/crates/cranberrygap-placement/src/residency/room.rs
+++ b/crates/cranberrygap-placement/src/residency/inventory.rs
@@ -13,13 +13,13 @@
 
 use cranberrygap_model::{duration, id};
 
+use super::diagnostics;
 use super::order;
 use super::runner;
-use super::trace;
 
 /// What takes room at one process of a runner.
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct Inventory {
     /// Orders that it has accepted, while that is known.
     count: Option<u64>,
     /// Orders that it has certainly accepted. What was made before them is old.
@@ -33,16 +33,16 @@
     leaving: BTreeSet<runner::Adapter>,
     /// Adapters among them that somebody did not find.
     doubted: BTreeSet<runner::Adapter>,
-    word: trace::Word,
+    word: diagnostics::Observation,
 }
 
-impl Room {
+impl Inventory {
     /// What an announcement tells. Nothing is ordered by it.
     #[must_use]
     pub const fn announced(
         models: BTreeSet<id::Model>,
         adapters: BTreeMap<runner::Adapter, duration::Instant>,
-        word: trace::Word,
+        word: diagnostics::Observation,
     ) -> Self {
         Self {
             count: None,
@@ -93,7 +93,7 @@
     }
 
     /// Adapters that stay for now, with the time of their last use.
-    pub fn offered(&self) -> impl Iterator<Item = (&runner::Adapter, &duration::Instant)> {
+    pub fn offered_adapters(&self) -> impl Iterator<Item = (&runner::Adapter, &duration::Instant)> {
         let adapters = self.adapters.iter();
         adapters.filter(|(adapter, _)| !self.is_withheld(adapter))
     }
@@ -112,12 +112,12 @@
 
     /// Who told of the models last.
     #[must_use]
-    pub const fn word(&self) -> trace::Word {
+    pub const fn word(&self) -> diagnostics::Observation {
         self.word
     }
 
     /// Takes another announcement, as long as nothing is known by count.
-    pub fn announce(&mut self, models: BTreeSet<id::Model>, word: trace::Word) {
+    pub fn announce(&mut self, models: BTreeSet<id::Model>, word: diagnostics::Observation) {
         self.adapters
             .retain(|(model, _), _| models.contains(model.as_str()));
         self.models = models;
@@ -163,8 +163,8 @@
         self.reported = true;
         self.count = Some(report.accepted);
         self.least = self.least.max(report.accepted);
-        self.word = trace::Word {
-            source: trace::Source::Report(report.accepted),
+        self.word = diagnostics::Observation {
+            source: diagnostics::Source::Report(report.accepted),
             at: now,
         };
     }
@@ -201,13 +201,13 @@
     }
 
     /// A model has come.
-    pub fn loaded(&mut self, model: &id::Model, word: trace::Word) {
+    pub fn loaded(&mut self, model: &id::Model, word: diagnostics::Observation) {
         self.models.insert(model.clone());
         self.word = word;
     }
 
     /// A model has gone with its adapters.
-    pub fn unloaded(&mut self, model: &id::Model, word: trace::Word) {
+    pub fn unloaded(&mut self, model: &id::Model, word: diagnostics::Observation) {
         self.models.remove(model);
         self.adapters.retain(|(of, _), _| of != model);
         self.leaving.retain(|(of, _)| of != model);
--- a/crates/cranberrygap-placement/src/residency/order.rs
+++ b/crates/cranberrygap-placement/src/residency/order.rs
@@ -30,7 +30,7 @@
     /// Where the runner listens.
     pub address: address::Socket,
     /// Orders that the runner has accepted before.
-    pub expect: u64,
+    pub expected_count: u64,
     /// What it asks for.
     pub action: Action,
 }
--- a/crates/cranberrygap-placement/src/residency/book.rs
+++ b/crates/cranberrygap-placement/src/residency/planner.rs
@@ -9,11 +9,11 @@
 
 use cranberrygap_model::{duration, id, number};
 
-use super::ceiling;
+use super::diagnostics;
 use super::engine;
+use super::load_bucket;
 use super::order;
 use super::runner;
-use super::trace;
 
 /// Time after which an order without an answer is sent again. Longer than a call
 /// takes on a healthy link, far shorter than a load.
@@ -48,11 +48,11 @@
     /// Send this order.
     Send(order::Order),
     /// Ask a runner for a report.
-    Ask(id::Endpoint),
+    FetchReport(id::Endpoint),
     /// Tell all entries what a runner is about to drop and which adapters it holds.
-    Tell(id::Endpoint),
+    PublishResidency(id::Endpoint),
     /// Answer whoever asked for an adapter: it is at this runner, or cannot be had.
-    Place(u64, Option<id::Endpoint>),
+    ResolveAdapter(u64, Option<id::Endpoint>),
 }
 
 /// Who waits for an adapter.
@@ -67,10 +67,10 @@
 
 /// Runners of one service, what they hold and what was ordered from them.
 #[derive(Debug)]
-pub struct Book {
+pub struct Planner {
     service: id::Service,
     engine: engine::Engine,
-    ceiling: ceiling::Ceiling,
+    ceiling: load_bucket::Ceiling,
     runners: BTreeMap<id::Endpoint, runner::Runner>,
     demand: BTreeMap<id::Model, f64>,
     /// Since when there is demand.
@@ -89,12 +89,12 @@
     /// How often the moves were planned.
     plans: u64,
     /// Words on runners' models that differ from what was known, for people.
-    differences: Vec<trace::Difference>,
+    differences: Vec<diagnostics::Difference>,
     /// Loads of which a copy may be on its way.
     strays: Vec<strays::Stray>,
 }
 
-impl Book {
+impl Planner {
     /// An empty book of a leader that took office at `now` and may order after
     /// `wait`.
     #[must_use]
@@ -104,7 +104,7 @@
         now: duration::Instant,
         wait: duration::Span,
     ) -> Self {
-        let ceiling = ceiling::Ceiling::new(engine.store_rate, now);
+        let ceiling = load_bucket::Ceiling::new(engine.store_rate, now);
         Self {
             service,
             engine,
@@ -165,17 +165,17 @@
 
     /// What one runner's room is taken to be.
     #[must_use]
-    pub fn room(&self, now: duration::Instant, name: &id::Endpoint) -> Option<trace::Room> {
+    pub fn usage(&self, now: duration::Instant, name: &id::Endpoint) -> Option<diagnostics::Usage> {
         let runner = self.runners.get(name)?;
-        Some(trace::Room::new(now, &self.engine, runner))
+        Some(diagnostics::Usage::new(now, &self.engine, runner))
     }
 
     /// Words on runners' models that differ from what was known, each once.
-    pub fn take_differences(&mut self) -> Vec<trace::Difference> {
+    pub fn take_differences(&mut self) -> Vec<diagnostics::Difference> {
         std::mem::take(&mut self.differences)
     }
 
-    fn differs(&mut self, found: Option<trace::Difference>) {
+    fn differs(&mut self, found: Option<diagnostics::Difference>) {
         if self.differences.len() < MOST_DIFFERENCES {
             self.differences.extend(found);
         }
@@ -190,7 +190,11 @@
             self.advance(now, &mut outputs);
         }
         self.settle_waiters(now, &mut outputs);
-        outputs.extend(self.take_changed().into_iter().map(Output::Tell));
+        outputs.extend(
+            self.take_changed()
+                .into_iter()
+                .map(Output::PublishResidency),
+        );
         outputs
     }
 
@@ -201,8 +205,8 @@
                 .carried
                 .as_ref()
                 .is_some_and(|carried| now >= carried.due.after(OVERDUE));
-            let unknown = runner.room.count().is_none() && runner.sent.is_none();
-            let unsettled = runner.room.is_unsettled() && runner.sent.is_none();
+            let unknown = runner.inventory.count().is_none() && runner.sent.is_none();
+            let unsettled = runner.inventory.is_unsettled() && runner.sent.is_none();
             let pause = if unsettled && !runner.wanted.is_empty() {
                 ASK_SOON
             } else {
@@ -211,7 +215,7 @@
             let waits = runner.asked.is_some_and(|asked| now < asked.after(pause));
             if (unknown || overdue || unsettled || runner.is_disputed()) && !waits && runner.ready {
                 runner.asked = Some(now);
-                outputs.push(Output::Ask(name.clone()));
+                outputs.push(Output::FetchReport(name.clone()));
             }
         }
     }
@@ -239,12 +243,12 @@
     pub fn dump(&self) -> serde_json::Value {
         let runners = self.runners.iter().map(|(name, runner)| {
             serde_json::json!({
-                "endpoint": name, "ready": runner.ready, "models": runner.room.models(),
-                "adapters": runner.room.adapters().len(), "accepted": runner.room.count(),
+                "endpoint": name, "ready": runner.ready, "models": runner.inventory.models(),
+                "adapters": runner.inventory.adapters().len(), "accepted": runner.inventory.count(),
                 "moving": runner.moving.as_ref().map(|found| format!("{found:?}")),
                 "carried": runner.carried.as_ref().map(|carried| carried.action.to_string()),
                 "asked": runner.asked.is_some(),
-                "unsettled": runner.room.is_unsettled(),
+                "unsettled": runner.inventory.is_unsettled(),
                 "wanted": runner.wanted.len(),
                 "sent": runner.sent.as_ref().map(|sent| sent.order.action.to_string()),
             })
--- a/crates/cranberrygap-placement/src/residency/book/adapters.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/adapters.rs
@@ -5,7 +5,7 @@
 use cranberrygap_model::{duration, id};
 use smol_str::SmolStr;
 
-use super::{Book, Output, Waiter};
+use super::{Output, Planner, Waiter};
 use crate::residency::order;
 use crate::residency::runner;
 
@@ -21,12 +21,12 @@
 /// may be under way to the runner.
 const IN_USE: duration::Span = duration::Span::from_millis(1_500);
 
-impl Book {
+impl Planner {
     /// Asks for an adapter on behalf of a request; the ticket comes back in
-    /// [`Output::Place`].
+    /// [`Output::ResolveAdapter`].
     ///
     /// `missing` tells that the preferred runner said that it lacks the adapter.
-    pub fn want(
+    pub fn request_adapter(
         &mut self,
         now: duration::Instant,
         ticket: u64,
@@ -35,7 +35,7 @@
         missing: bool,
     ) {
         if missing && let Some(runner) = self.runners.get_mut(preferred) {
-            runner.room.doubt(adapter);
+            runner.inventory.doubt(adapter);
             self.changed.insert(preferred.clone());
         }
         let endpoint = self.choose(now, adapter, preferred);
@@ -51,8 +51,8 @@
         let may_order = now >= self.opens;
         match endpoint.and_then(|name| self.runners.get_mut(&name)) {
             None => waiter.deadline = now,
-            Some(runner) if runner.room.offers(adapter) => {
-                runner.room.used(now, adapter);
+            Some(runner) if runner.inventory.offers(adapter) => {
+                runner.inventory.used(now, adapter);
                 waiter.ready = Some(now);
             }
             Some(_) if !may_order => waiter.deadline = now,
@@ -74,13 +74,13 @@
             .iter()
             .filter(|(_, runner)| runner.serves(&adapter.0));
         let best = serving.min_by_key(|(name, runner)| {
-            let there = runner.room.offers(adapter) || runner.wanted.contains(adapter);
+            let there = runner.inventory.offers(adapter) || runner.wanted.contains(adapter);
             let blocked = now < self.opens
                 || runner.carried.is_some()
-                || runner.room.is_withheld(adapter)
+                || runner.inventory.is_withheld(adapter)
                 || now < runner.adapters_after
                 || !runner.has_adapter_place(now, self.engine.adapter_slots);
-            let full = runner.room.adapters().len() >= self.engine.adapter_slots;
+            let full = runner.inventory.adapters().len() >= self.engine.adapter_slots;
             // The wish of the entry goes first unless the runner cannot take it now.
             let wished = *name == preferred;
             (
@@ -88,16 +88,16 @@
                 !(wished || there),
                 !wished,
                 full,
-                runner.room.adapters().len(),
+                runner.inventory.adapters().len(),
             )
         });
         best.map(|(name, _)| name.clone())
     }
 
     /// Adapters that requests used of late.
-    pub fn used(&mut self, now: duration::Instant, adapter: &runner::Adapter) {
+    pub fn mark_adapter_used(&mut self, now: duration::Instant, adapter: &runner::Adapter) {
         for runner in self.runners.values_mut() {
-            runner.room.used(now, adapter);
+            runner.inventory.used(now, adapter);
         }
     }
 
@@ -113,24 +113,24 @@
             return None;
         }
         let mut wanted = std::mem::take(&mut runner.wanted);
-        wanted.retain(|wanted| !runner.room.offers(wanted) && runner.serves(&wanted.0));
+        wanted.retain(|wanted| !runner.inventory.offers(wanted) && runner.serves(&wanted.0));
         runner.wanted = wanted;
         // One that goes cannot come back before it has gone, and one that is doubted may be there.
         let mut possible = runner.wanted.iter();
-        let next = possible.find(|wanted| !runner.room.is_withheld(wanted))?;
-        let adapters = runner.room.adapters().keys().map(|(model, _)| model);
+        let next = possible.find(|wanted| !runner.inventory.is_withheld(wanted))?;
+        let adapters = runner.inventory.adapters().keys().map(|(model, _)| model);
         let with_it = adapters.chain(std::iter::once(&next.0));
         let coming = runner
             .coming()
-            .filter(|model| !runner.room.models().contains(*model));
-        let models = runner.room.models().iter().chain(coming);
+            .filter(|model| !runner.inventory.models().contains(*model));
+        let models = runner.inventory.models().iter().chain(coming);
         let fits = self.engine.taken(models, with_it) <= self.engine.memory.0;
-        if runner.room.adapters().len() < slots && fits {
+        if runner.inventory.adapters().len() < slots && fits {
             let (model, adapter) = next.clone();
             return Some(order::Action::LoadAdapter(model, adapter));
         }
         // Places that are about to be free are enough for those who wait.
-        if runner.room.leaving() >= runner.wanted.len() {
+        if runner.inventory.leaving() >= runner.wanted.len() {
             return None;
         }
         runner.idle_adapter(now)
@@ -141,7 +141,7 @@
         let Some(runner) = self.runners.get_mut(name) else {
             return;
         };
-        let room = &runner.room;
+        let room = &runner.inventory;
         runner.wanted.retain(|wanted| !room.offers(wanted));
         let waiting = self.waiters.iter_mut();
         for waiter in waiting.filter(|waiter| waiter.endpoint == *name) {
@@ -166,7 +166,7 @@
             order::Action::LoadAdapter(model, adapter) => {
                 let key = (model.clone(), adapter.clone());
                 runner.wanted.retain(|wanted| *wanted != key);
-                runner.room.fetch(now, key.clone());
+                runner.inventory.fetch(now, key.clone());
                 let waiting = self.waiters.iter_mut();
                 let same = |waiter: &&mut Waiter| waiter.endpoint == *name && waiter.adapter == key;
                 for waiter in waiting.filter(same) {
@@ -176,9 +176,9 @@
             order::Action::UnloadAdapter(model, adapter) => {
                 let key = (model.clone(), adapter.clone());
                 if is_over {
-                    runner.room.dropped(&key);
+                    runner.inventory.dropped(&key);
                 } else {
-                    runner.room.leave(&key);
+                    runner.inventory.leave(&key);
                 }
             }
             order::Action::Load(_) | order::Action::Unload(_) => {}
@@ -208,11 +208,14 @@
         self.waiters.retain(|waiter| {
             let there = waiter.is_there(runners);
             if there && waiter.ready.is_some_and(|ready| now >= ready) {
-                outputs.push(Output::Place(waiter.ticket, Some(waiter.endpoint.clone())));
+                outputs.push(Output::ResolveAdapter(
+                    waiter.ticket,
+                    Some(waiter.endpoint.clone()),
+                ));
                 return false;
             }
             if now >= waiter.deadline {
-                outputs.push(Output::Place(waiter.ticket, None));
+                outputs.push(Output::ResolveAdapter(waiter.ticket, None));
                 return false;
             }
             true
@@ -221,7 +224,7 @@
 
     /// When somebody who waits can be answered next, if that is known.
     #[must_use]
-    pub fn wake(&self) -> Option<duration::Instant> {
+    pub fn next_wake(&self) -> Option<duration::Instant> {
         let ready = self.waiters.iter().filter_map(|waiter| {
             let ready = waiter.ready?;
             waiter.is_there(&self.runners).then_some(ready)
@@ -234,24 +237,24 @@
     /// Whether its runner holds the adapter.
     fn is_there(&self, runners: &BTreeMap<id::Endpoint, runner::Runner>) -> bool {
         let runner = runners.get(&self.endpoint);
-        runner.is_some_and(|runner| runner.room.offers(&self.adapter))
+        runner.is_some_and(|runner| runner.inventory.offers(&self.adapter))
     }
 }
 
 impl runner::Runner {
     /// Whether one more adapter finds a place, or one that can be dropped for it.
     fn has_adapter_place(&self, now: duration::Instant, slots: usize) -> bool {
-        let offered = self.room.offered();
+        let offered = self.inventory.offered_adapters();
         let idle = offered
             .filter(|(_, used)| now.since(**used) >= IN_USE)
             .count();
-        let taken = self.room.adapters().len() - idle;
+        let taken = self.inventory.adapters().len() - idle;
         taken + self.wanted.len() < slots
     }
 
     /// The order that drops the adapter that was used least of late.
     fn idle_adapter(&self, now: duration::Instant) -> Option<order::Action> {
-        let offered = self.room.offered();
+        let offered = self.inventory.offered_adapters();
         let idle = offered.filter(|(_, used)| now.since(**used) >= IN_USE);
         let ((model, adapter), _) = idle.min_by_key(|(_, used)| **used)?;
         Some(order::Action::UnloadAdapter(
--- a/crates/cranberrygap-placement/src/residency/book/moves.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/moves.rs
@@ -3,9 +3,9 @@
 use cranberrygap_model::{duration, id};
 use cranberrygap_wire::view;
 
-use super::{Book, Output, REPEAT_AFTER, RETIRE_AFTER};
+use super::{Output, Planner, REPEAT_AFTER, RETIRE_AFTER};
 use crate::residency::order;
-use crate::residency::plan;
+use crate::residency::rebalance;
 use crate::residency::runner;
 
 /// Least time between two plans. A plan looks at each model at each runner, while reports
@@ -26,7 +26,7 @@
 /// the time of an unload and a load; a shift of demand needs other runners meanwhile.
 const STANDING_MOVES: usize = 3;
 
-impl Book {
+impl Planner {
     /// Begins the moves that are worth their cost, once in a period.
     pub(super) fn plan(&mut self, now: duration::Instant) {
         if !is_due(self.planned, now, PLAN_PERIOD) {
@@ -37,7 +37,7 @@
         for _move in 0..MOVES_A_LOOK {
             let at_once = self.engine.loads_at_once();
             let open = self.ceiling.is_open(now) && self.loading_from_store() < at_once;
-            let draft = plan::Draft::new(&self.engine, &self.runners, &self.demand, open);
+            let draft = rebalance::Draft::new(&self.engine, &self.runners, &self.demand, open);
             let Some(wish) = draft.next() else {
                 break;
             };
@@ -57,13 +57,13 @@
         }
         self.prepared = Some(now);
         let full = self.ceiling.is_full(now);
-        let draft = plan::Draft::new(&self.engine, &self.runners, &self.demand, full);
+        let draft = rebalance::Draft::new(&self.engine, &self.runners, &self.demand, full);
         if let Some(wish) = draft.standing() {
             self.begin(now, wish);
         }
     }
 
-    fn begin(&mut self, now: duration::Instant, wish: plan::Wish) {
+    fn begin(&mut self, now: duration::Instant, wish: rebalance::Wish) {
         let weights = self.engine.models.get(&wish.load).copied();
         let Some(runner) = self.runners.get_mut(&wish.endpoint) else {
             return;
@@ -89,7 +89,7 @@
     ///
     /// Only word of the model that goes now counts: an earlier one may come after the move
     /// was begun.
-    pub fn told(&mut self, now: duration::Instant, word: &view::Residency) {
+    pub fn confirm_residency(&mut self, now: duration::Instant, word: &view::Residency) {
         let runner = self.runners.get_mut(&word.endpoint);
         let moving = runner.and_then(|runner| runner.moving.as_mut());
         if let Some(runner::Move::Retiring { victim, told, .. }) = moving
@@ -117,7 +117,7 @@
             let Some(runner) = self.runners.get_mut(&name) else {
                 continue;
             };
-            let Some(expect) = runner.room.count() else {
+            let Some(expect) = runner.inventory.count() else {
                 continue;
             };
             let order = order::Order {
@@ -125,7 +125,7 @@
                 endpoint: name,
                 boot: runner.boot,
                 address: runner.address,
-                expect,
+                expected_count: expect,
                 action,
             };
             runner.sent = Some(runner::Sent {
@@ -149,10 +149,10 @@
         }
         // A plan that came since may leave no room for it. The copies that were sent fitted
         // when they were, and whether one was accepted only the runner can say.
-        if !self.engine.fits(&runner.room, &sent.order.action) {
+        if !self.engine.fits(&runner.inventory, &sent.order.action) {
             runner.sent = None;
             runner.moving = None;
-            runner.room.forget_count();
+            runner.inventory.forget_count();
             self.changed.insert(name.clone());
             return None;
         }
@@ -167,7 +167,7 @@
         name: &id::Endpoint,
     ) -> Option<order::Action> {
         let runner = self.runners.get_mut(name)?;
-        if runner.sent.is_some() || runner.room.count().is_none() || !runner.ready {
+        if runner.sent.is_some() || runner.inventory.count().is_none() || !runner.ready {
             return None;
         }
         // A runner carries out one order at a time. It turns down any other until a
@@ -206,7 +206,7 @@
     fn checked_load(&mut self, name: &id::Endpoint, model: id::Model) -> Option<order::Action> {
         let runner = self.runners.get_mut(name)?;
         let load = order::Action::Load(model);
-        if !self.engine.fits(&runner.room, &load) {
+        if !self.engine.fits(&runner.inventory, &load) {
             runner.moving = None;
             self.changed.insert(name.clone());
             return None;
--- a/crates/cranberrygap-placement/src/residency/book/news.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/news.rs
@@ -6,15 +6,15 @@
 use cranberrygap_wire::{endpoint, view};
 use smol_str::SmolStr;
 
-use super::{Book, FIRST, REPORT_LAG, UNLOAD_TIME};
+use super::{FIRST, Planner, REPORT_LAG, UNLOAD_TIME};
+use crate::residency::diagnostics;
+use crate::residency::inventory;
 use crate::residency::order;
-use crate::residency::room;
 use crate::residency::runner;
-use crate::residency::trace;
 
-impl Book {
+impl Planner {
     /// Takes over the endpoints of the replicated state.
-    pub fn follow<'state>(
+    pub fn update_endpoints<'state>(
         &mut self,
         now: duration::Instant,
         endpoints: impl Iterator<Item = (&'state endpoint::Announcement, view::Health)>,
@@ -62,27 +62,27 @@
             runner.cached = details.cached.iter().cloned().collect();
             runner.stored = details.stored.iter().cloned().collect();
         }
-        let word = trace::Word {
-            source: trace::Source::Announcement(announced.sequence),
+        let word = diagnostics::Observation {
+            source: diagnostics::Source::Announcement(announced.sequence),
             at: now,
         };
-        if !runner.room.is_reported() {
-            runner.room.announce(runner.announced.clone(), word);
+        if !runner.inventory.is_reported() {
+            runner.inventory.announce(runner.announced.clone(), word);
             return;
         }
         if runner.settle(word) {
             self.changed.insert(name.clone());
         }
         // It may be older than what is known, or tell of what nobody here has ordered.
-        let difference = trace::Difference::find(name, runner, &runner.announced, word);
+        let difference = diagnostics::Difference::find(name, runner, &runner.announced, word);
         if difference.is_some() {
-            runner.room.forget_count();
+            runner.inventory.forget_count();
         }
         self.differs(difference);
     }
 
     /// Takes a runner's report on itself.
-    pub fn reported(
+    pub fn handle_report(
         &mut self,
         now: duration::Instant,
         name: &id::Endpoint,
@@ -97,7 +97,7 @@
             return;
         }
         let another = report.boot.is_some_and(|boot| boot != runner.boot);
-        if another || runner.room.is_old(report) || runner.is_too_early(now, report) {
+        if another || runner.inventory.is_old(report) || runner.is_too_early(now, report) {
             runner.asked = Some(now);
             return;
         }
@@ -106,12 +106,12 @@
             return;
         }
         let models: BTreeSet<id::Model> = report.models.iter().cloned().collect();
-        let word = trace::Word {
-            source: trace::Source::Report(report.accepted),
+        let word = diagnostics::Observation {
+            source: diagnostics::Source::Report(report.accepted),
             at: now,
         };
-        let difference = trace::Difference::find(name, runner, &models, word);
-        runner.room.adopt(now, report);
+        let difference = diagnostics::Difference::find(name, runner, &models, word);
+        runner.inventory.adopt(now, report);
         runner.end(&models, word);
         self.adapters_told(now, name);
         self.changed.insert(name.clone());
@@ -119,7 +119,7 @@
     }
 
     /// Takes a runner's answer to an order.
-    pub fn answered(
+    pub fn handle_verdict(
         &mut self,
         now: duration::Instant,
         name: &id::Endpoint,
@@ -138,7 +138,7 @@
         }
         match verdict {
             order::Verdict::Accepted => {
-                runner.room.accept(order.expect);
+                runner.inventory.accept(order.expected_count);
                 self.accepted(now, name, order, sent.after);
             }
             order::Verdict::Holds => {
@@ -147,15 +147,15 @@
                 // done by an earlier copy, leaves the count open.
                 let counts = matches!(order.action, order::Action::UnloadAdapter(..));
                 if counts && !sent.repeated {
-                    runner.room.suppose(order.expect + 1);
+                    runner.inventory.suppose(order.expected_count + 1);
                 } else {
-                    runner.room.forget_count();
+                    runner.inventory.forget_count();
                 }
                 self.holds(now, name, &order);
             }
             order::Verdict::Conflict => {
                 runner.adapters_after = now.after(REPORT_LAG);
-                runner.room.forget_count();
+                runner.inventory.forget_count();
                 runner.asked = Some(now);
                 if order.action.is_model() {
                     runner.moving = None;
@@ -163,7 +163,7 @@
                 self.changed.insert(name.clone());
             }
             order::Verdict::Refused => {
-                runner.room.forget_count();
+                runner.inventory.forget_count();
                 runner.asked = Some(now);
                 if order.action.is_model() {
                     runner.moving = None;
@@ -185,7 +185,9 @@
         let time = match &order.action {
             order::Action::Load(model) => weights(model).map(|weights| {
                 let runner = self.runners.get(name);
-                runner.map_or(weights.load, |runner| runner.load_time(model, &weights).0)
+                runner.map_or(weights.load_from_store, |runner| {
+                    runner.load_time(model, &weights).0
+                })
             }),
             _ => Some(UNLOAD_TIME),
         };
@@ -202,8 +204,8 @@
             after,
         });
         // It may be done before its answer is here.
-        let word = trace::Word {
-            source: trace::Source::Answer(order.expect),
+        let word = diagnostics::Observation {
+            source: diagnostics::Source::Answer(order.expected_count),
             at: now,
         };
         if runner.settle(word) {
@@ -215,18 +217,18 @@
         let Some(runner) = self.runners.get_mut(name) else {
             return;
         };
-        let word = trace::Word {
-            source: trace::Source::Answer(order.expect),
+        let word = diagnostics::Observation {
+            source: diagnostics::Source::Answer(order.expected_count),
             at: now,
         };
         match &order.action {
             order::Action::Load(model) => {
-                runner.room.loaded(model, word);
+                runner.inventory.loaded(model, word);
                 runner.moving = None;
                 self.changed.insert(name.clone());
             }
             order::Action::Unload(model) => {
-                runner.room.unloaded(model, word);
+                runner.inventory.unloaded(model, word);
                 runner.unloaded();
                 self.changed.insert(name.clone());
             }
@@ -237,7 +239,7 @@
     }
 
     /// An order's answer did not come; the order may have been accepted.
-    pub fn unanswered(&mut self, now: duration::Instant, name: &id::Endpoint, number: u64) {
+    pub fn handle_no_answer(&mut self, now: duration::Instant, name: &id::Endpoint, number: u64) {
         let Some(runner) = self.runners.get_mut(name) else {
             return;
         };
@@ -251,7 +253,7 @@
 
 impl runner::Runner {
     /// Ends an order whose result the latest announcement shows; true when something ended.
-    fn settle(&mut self, word: trace::Word) -> bool {
+    fn settle(&mut self, word: diagnostics::Observation) -> bool {
         let Some(carried) = &self.carried else {
             return false;
         };
@@ -264,7 +266,7 @@
     }
 
     /// Ends the order that is carried out; `models` tell whether it has done what it should.
-    fn end(&mut self, models: &BTreeSet<id::Model>, word: trace::Word) {
+    fn end(&mut self, models: &BTreeSet<id::Model>, word: diagnostics::Observation) {
         let Some(carried) = self.carried.take() else {
             return;
         };
@@ -274,11 +276,11 @@
         }
         match &carried.action {
             order::Action::Load(model) => {
-                self.room.loaded(model, word);
+                self.inventory.loaded(model, word);
                 self.moving = None;
             }
             order::Action::Unload(model) => {
-                self.room.unloaded(model, word);
+                self.inventory.unloaded(model, word);
                 self.unloaded();
             }
             order::Action::LoadAdapter(..) | order::Action::UnloadAdapter(..) => {}
@@ -297,13 +299,13 @@
 
     /// Takes the report of a runner that carries out a model order.
     fn busy(&mut self, now: duration::Instant, report: &order::Report) {
-        if self.carried.is_some() && !self.room.is_later(report) {
-            self.room.suppose(report.accepted);
+        if self.carried.is_some() && !self.inventory.is_later(report) {
+            self.inventory.suppose(report.accepted);
             return;
         }
         // An order of which this leader knows nothing; what the runner holds at its end is
         // told by its next report.
-        self.room.forget_count();
+        self.inventory.forget_count();
         self.asked = Some(now);
     }
 
@@ -343,8 +345,8 @@
         .filter_map(adapter)
         .map(|adapter| (adapter, now))
         .collect();
-    let word = trace::Word {
-        source: trace::Source::Announcement(FIRST),
+    let word = diagnostics::Observation {
+        source: diagnostics::Source::Announcement(FIRST),
         at: now,
     };
     runner::Runner {
@@ -357,7 +359,7 @@
         ready: false,
         sequence: FIRST,
         announced: BTreeSet::new(),
-        room: room::Room::announced(BTreeSet::new(), adapters, word),
+        inventory: inventory::Inventory::announced(BTreeSet::new(), adapters, word),
         cached: BTreeSet::new(),
         stored: BTreeSet::new(),
         asked: None,
--- a/crates/cranberrygap-placement/src/residency/book/strays.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/strays.rs
@@ -6,7 +6,7 @@
 
 use cranberrygap_model::{duration, id, number};
 
-use super::Book;
+use super::Planner;
 use crate::residency::order;
 
 /// Time after which an order does not land any more. Late ones take up to twelve seconds;
@@ -27,7 +27,7 @@
     }
 }
 
-impl Book {
+impl Planner {
     /// Notes an order that goes out.
     pub(super) fn goes_out(&mut self, now: duration::Instant, order: &order::Order) {
         self.strays.retain(|stray| now.since(stray.at) < LIFE);
@@ -52,7 +52,7 @@
         let Some(runner) = self.runners.get(name) else {
             return false;
         };
-        let Some(count) = runner.room.count() else {
+        let Some(count) = runner.inventory.count() else {
             return false;
         };
         let meets = |stray: &&Stray| is_met(stray, name, runner.boot, count + 1);
@@ -60,11 +60,11 @@
         if met.peek().is_none() {
             return false;
         }
-        let after = runner.room.after(now, action);
+        let after = runner.inventory.after(now, action);
         met.any(|stray| !self.engine.fits(&after, &stray.order.action))
     }
 }
 
 fn is_met(stray: &Stray, name: &id::Endpoint, boot: number::Boot, count: u64) -> bool {
-    stray.order.endpoint == *name && stray.order.boot != boot && stray.order.expect == count
+    stray.order.endpoint == *name && stray.order.boot != boot && stray.order.expected_count == count
 }
--- a/crates/cranberrygap-placement/src/residency/plan.rs
+++ b/crates/cranberrygap-placement/src/residency/rebalance.rs
@@ -102,7 +102,7 @@
                 copies.entry(model).or_default().push(place);
             }
             for model in runner
-                .room
+                .inventory
                 .models()
                 .iter()
                 .filter(|model| runner.serves(model))
@@ -194,7 +194,7 @@
         let idle = self.idle();
         let options = idle.filter_map(|(place, name, runner)| {
             let (time, counted) = runner.load_time(model, weights);
-            if runner.room.models().contains(model) || (counted && !self.store_open) {
+            if runner.inventory.models().contains(model) || (counted && !self.store_open) {
                 return None;
             }
             let free = self.free[place];
@@ -272,7 +272,7 @@
         let idle = self.idle();
         let options = idle.filter_map(|(place, name, runner)| {
             let load = self.load[place];
-            if runner.room.models().contains(model) {
+            if runner.inventory.models().contains(model) {
                 return None;
             }
             let (time, counted) = runner.load_time(model, weights);
@@ -335,7 +335,7 @@
     ) -> impl Iterator<Item = &'book id::Model> {
         let coming = self.engine.models.get(coming);
         let needed = coming.map_or(u64::MAX, |weights| weights.size.0);
-        let models = runner.room.models().iter();
+        let models = runner.inventory.models().iter();
         models.filter(move |model| free + self.engine.size(model) >= needed)
     }
 
--- a/crates/cranberrygap-placement/src/residency/runner.rs
+++ b/crates/cranberrygap-placement/src/residency/runner.rs
@@ -6,8 +6,8 @@
 use smol_str::SmolStr;
 
 use super::engine;
+use super::inventory;
 use super::order;
-use super::room;
 
 /// A model and one of its adapters.
 pub type Adapter = (id::Model, SmolStr);
@@ -76,7 +76,7 @@
     /// Models that it holds by its latest announcement.
     pub announced: BTreeSet<id::Model>,
     /// What takes room.
-    pub room: room::Room,
+    pub inventory: inventory::Inventory,
     /// Models of which its host memory holds a copy.
     pub cached: BTreeSet<id::Model>,
     /// Models of which its disk holds a copy.
@@ -99,12 +99,14 @@
     /// Whether a model is there and stays for now.
     #[must_use]
     pub fn serves(&self, model: &id::Model) -> bool {
-        self.ready && self.room.models().contains(model) && self.leaving() != Some(model)
+        self.ready
+            && self.inventory.models().contains(model)
+            && self.outgoing_model() != Some(model)
     }
 
     /// The model that is about to go.
     #[must_use]
-    pub const fn leaving(&self) -> Option<&id::Model> {
+    pub const fn outgoing_model(&self) -> Option<&id::Model> {
         match &self.moving {
             Some(Move::Retiring { victim, .. } | Move::Unloading { victim, .. }) => Some(victim),
             _ => None,
@@ -137,27 +139,27 @@
     #[must_use]
     pub fn is_disputed(&self) -> bool {
         let idle = self.carried.is_none() && self.sent.is_none();
-        idle && self.room.is_reported() && self.announced != *self.room.models()
+        idle && self.inventory.is_reported() && self.announced != *self.inventory.models()
     }
 
     /// Models that it will serve once what was begun is done.
     pub fn settled(&self) -> impl Iterator<Item = &id::Model> {
-        let leaving = self.leaving();
+        let leaving = self.outgoing_model();
         let stay = self
-            .room
+            .inventory
             .models()
             .iter()
             .filter(move |model| Some(*model) != leaving);
         let coming = self
             .coming()
-            .filter(|model| !self.room.models().contains(model.as_str()));
+            .filter(|model| !self.inventory.models().contains(model.as_str()));
         stay.chain(coming)
     }
 
     /// Memory that is free once what was begun is done.
     #[must_use]
     pub fn free(&self, engine: &engine::Engine) -> u64 {
-        let adapters = self.room.adapters().keys().map(|(model, _)| model);
+        let adapters = self.inventory.adapters().keys().map(|(model, _)| model);
         let taken = engine.taken(self.settled(), adapters);
         engine.memory.0.saturating_sub(taken)
     }
@@ -166,7 +168,7 @@
     #[must_use]
     pub const fn is_idle(&self) -> bool {
         let free = self.moving.is_none() && self.carried.is_none();
-        self.ready && free && self.room.count().is_some()
+        self.ready && free && self.inventory.count().is_some()
     }
 
     /// Time that a load of `model` takes here, and whether the store counts it.
@@ -177,11 +179,11 @@
         weights: &engine::Weights,
     ) -> (duration::Span, bool) {
         if self.cached.contains(model) {
-            return (weights.warm, false);
+            return (weights.load_from_host, false);
         }
         if self.stored.contains(model) {
-            return (weights.disk, false);
+            return (weights.load_from_disk, false);
         }
-        (weights.load, true)
+        (weights.load_from_store, true)
     }
 }
--- a/crates/cranberrygap-placement/tests/ledger.rs
+++ b/crates/cranberrygap-placement/tests/ledger.rs
@@ -54,7 +54,7 @@
     let mut first = fixture::ledger(&[]);
     commit(&mut first, &load("o1", "a", "m", 60));
     let mut second = ledger::Ledger::new(first.journal().clone(), gib(0));
-    second.enroll(&fixture::runner("a", "x"));
+    second.update_endpoint(&fixture::runner("a", "x"));
     show(&mut second, &report("a", 1, &[]));
 
     let refused = second.intend(&catalogue(&[]), &load("o2", "a", "n", 60));
@@ -67,7 +67,7 @@
 #[test]
 fn no_order_before_the_first_report() {
     let mut ledger = ledger::Ledger::new(journal::Journal::default(), gib(0));
-    ledger.enroll(&fixture::runner("a", "x"));
+    ledger.update_endpoint(&fixture::runner("a", "x"));
 
     let refused = ledger.intend(&catalogue(&[]), &load("o1", "a", "m", 10));
 
@@ -91,14 +91,14 @@
 #[test]
 fn answer_to_an_abandoned_question_is_ignored() {
     let mut ledger = fixture::ledger(&[]);
-    let old = ledger.ask(&name("a")).unwrap();
+    let old = ledger.issue_ticket(&name("a")).unwrap();
     let restarted = endpoint::Report {
         boot: number::Boot(2),
         ..report("a", 0, &[])
     };
     show(&mut ledger, &restarted);
 
-    let records = ledger.observe(old, &report("a", 9, &["m"]));
+    let records = ledger.apply_report(old, &report("a", 9, &["m"]));
 
     assert!(records.is_empty());
     assert_eq!(ledger.accounts()["a"].boot, Some(number::Boot(2)));
@@ -112,7 +112,7 @@
     commit(&mut first, &load("o1", "a", "m", 10));
     show(&mut first, &report("a", 7, &["m"]));
     let mut second = ledger::Ledger::new(first.journal().clone(), gib(0));
-    second.enroll(&fixture::runner("a", "x"));
+    second.update_endpoint(&fixture::runner("a", "x"));
 
     show(&mut second, &report("a", 6, &[]));
 
@@ -160,7 +160,7 @@
 
     assert_eq!(second, Err(ledger::Refusal::LastCopy));
     let mut ledger = fixture::ledger(&[("a", &["m"]), ("c", &["m"])]);
-    ledger.enroll(&view::Endpoint {
+    ledger.update_endpoint(&view::Endpoint {
         health: view::Health::Suspect,
         ..fixture::runner("c", "y")
     });
@@ -171,7 +171,7 @@
 #[test]
 fn reserve_for_the_cache_is_kept() {
     let mut ledger = ledger::Ledger::new(journal::Journal::default(), gib(20));
-    ledger.enroll(&fixture::runner("a", "x"));
+    ledger.update_endpoint(&fixture::runner("a", "x"));
     show(&mut ledger, &report("a", 1, &[]));
 
     assert_eq!(ledger.accounts()["a"].free(), gib(80));
@@ -197,7 +197,7 @@
     let mut ledger = fixture::ledger(&[("a", &["m"]), ("c", &["m"])]);
     let mut restarted = fixture::runner("a", "x");
     restarted.announcement.boot = number::Boot(2);
-    ledger.enroll(&restarted);
+    ledger.update_endpoint(&restarted);
 
     let refused = ledger.intend(&known, &unload("o1", "c", "m"));
 
--- a/crates/cranberrygap-placement/tests/orders.rs
+++ b/crates/cranberrygap-placement/tests/orders.rs
@@ -126,7 +126,7 @@
     let mut known = fixture::runner("a", "x");
     known.announcement.checks_fence = false;
     let mut ledger = ledger::Ledger::new(journal::Journal::default(), gib(0));
-    ledger.enroll(&known);
+    ledger.update_endpoint(&known);
     fixture::show(&mut ledger, &report("a", 1, &[]));
     let mut executor = executor(ledger, seconds(10));
 
@@ -148,7 +148,7 @@
 
     let mut proposals = 0;
     for _report in 0..2 {
-        let ticket = executor.ledger_mut().ask(&name("a")).unwrap();
+        let ticket = executor.ledger_mut().issue_ticket(&name("a")).unwrap();
         let input = orders::Input::Reported(ticket, report("a", 2, &["m1"]));
         proposals += executor.step(seconds(2), input).len();
     }
--- a/crates/cranberrygap-placement/tests/plan.rs
+++ b/crates/cranberrygap-placement/tests/plan.rs
@@ -70,7 +70,7 @@
 fn loss_of_a_domain_is_repaired_by_what_users_lose() {
     let mut ledger = fixture::ledger(&[("a", &["m"]), ("c", &["m", "n"])]);
     for endpoint in ["c", "d"] {
-        ledger.enroll(&view::Endpoint {
+        ledger.update_endpoint(&view::Endpoint {
             health: view::Health::Gone,
             ..fixture::runner(endpoint, "y")
         });
@@ -130,7 +130,7 @@
     let full: Vec<&str> = full.iter().map(String::as_str).collect();
     let mut ledger = fixture::ledger(&[("a", &full), ("b", &full)]);
     for endpoint in ["c", "d"] {
-        ledger.enroll(&view::Endpoint {
+        ledger.update_endpoint(&view::Endpoint {
             health: view::Health::Gone,
             ..fixture::runner(endpoint, "y")
         });
--- a/crates/cranberrygap-placement/tests/residency.rs
+++ b/crates/cranberrygap-placement/tests/residency.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id, size};
-use cranberrygap_placement::residency::{book, engine, order, runner};
+use cranberrygap_placement::residency::{engine, order, planner, runner};
 use cranberrygap_wire::{endpoint, view};
 
 const GIB: u64 = 1 << 30;
@@ -25,16 +25,16 @@
     let weights = engine::Weights {
         size: size::Bytes(10 * GIB),
         adapter_size: size::Bytes(1 << 20),
-        load: duration::Span::from_secs(4),
-        warm: duration::Span::from_millis(600),
-        disk: duration::Span::from_millis(800),
+        load_from_store: duration::Span::from_secs(4),
+        load_from_host: duration::Span::from_millis(600),
+        load_from_disk: duration::Span::from_millis(800),
     };
     engine::Engine {
         memory: size::Bytes(21 * GIB),
         adapter_slots: 2,
         store_rate: 3.0,
         models: models.iter().map(|text| (model(text), weights)).collect(),
-        former: BTreeMap::new(),
+        former_models: BTreeMap::new(),
     }
 }
 
@@ -57,9 +57,9 @@
     serde_json::from_value(text).expect("an announcement")
 }
 
-fn follow(book: &mut book::Book, now: u64, all: &[endpoint::Announcement]) {
+fn follow(book: &mut planner::Planner, now: u64, all: &[endpoint::Announcement]) {
     let all = all.iter().map(|found| (found, view::Health::Ready));
-    book.follow(at(now), all, |_| None);
+    book.update_endpoints(at(now), all, |_| None);
 }
 
 fn report(accepted: u64) -> order::Report {
@@ -73,11 +73,15 @@
 }
 
 /// A book whose runners have reported, at a time when it may order.
-fn book(models: &[&str], all: &[endpoint::Announcement]) -> book::Book {
+fn book(models: &[&str], all: &[endpoint::Announcement]) -> planner::Planner {
     book_of(models, all, &report(0))
 }
 
-fn book_of(models: &[&str], all: &[endpoint::Announcement], report: &order::Report) -> book::Book {
+fn book_of(
+    models: &[&str],
+    all: &[endpoint::Announcement],
+    report: &order::Report,
+) -> planner::Planner {
     let reports = vec![report.clone(); all.len()];
     opening_book(duration::Span::from_millis(100), models, all, &reports)
 }
@@ -101,13 +105,13 @@
     models: &[&str],
     all: &[endpoint::Announcement],
     reports: &[order::Report],
-) -> book::Book {
+) -> planner::Planner {
     let service = "lm".parse().expect("a name");
-    let mut book = book::Book::new(service, room(models), at(0), wait);
+    let mut book = planner::Planner::new(service, room(models), at(0), wait);
     follow(&mut book, 0, all);
     book.tick(at(10));
     for (found, report) in all.iter().zip(reports) {
-        book.reported(at(20), &found.endpoint, &agreeing(found, report));
+        book.handle_report(at(20), &found.endpoint, &agreeing(found, report));
     }
     // What the reports tell is passed on here, before anything may be ordered.
     book.tick(at(30));
@@ -119,15 +123,15 @@
     rates.map(|(text, load)| (model(text), *load)).collect()
 }
 
-fn orders(outputs: &[book::Output]) -> Vec<order::Order> {
+fn orders(outputs: &[planner::Output]) -> Vec<order::Order> {
     let orders = outputs.iter().filter_map(|output| match output {
-        book::Output::Send(order) => Some(order.clone()),
+        planner::Output::Send(order) => Some(order.clone()),
         _ => None,
     });
     orders.collect()
 }
 
-fn actions(outputs: &[book::Output]) -> Vec<String> {
+fn actions(outputs: &[planner::Output]) -> Vec<String> {
     actions_of(&orders(outputs))
 }
 
@@ -139,12 +143,12 @@
 }
 
 /// What entries are told of a runner now.
-fn word(book: &book::Book, name: &id::Endpoint) -> view::Residency {
+fn word(book: &planner::Planner, name: &id::Endpoint) -> view::Residency {
     let runner = book.runner(name).expect("the runner is known");
     view::Residency {
         endpoint: name.clone(),
         boot: runner.boot,
-        retiring: runner.leaving().cloned().into_iter().collect(),
+        retiring: runner.outgoing_model().cloned().into_iter().collect(),
         adapters: Vec::new(),
     }
 }
@@ -176,11 +180,11 @@
 
     let first = book.tick(at(1_000));
     let word = word(&book, &name("r2"));
-    book.told(at(1_010), &word);
+    book.confirm_residency(at(1_010), &word);
     let early = book.tick(at(1_050));
     let later = book.tick(at(1_200));
 
-    assert_eq!(first, [book::Output::Tell(name("r2"))]);
+    assert_eq!(first, [planner::Output::PublishResidency(name("r2"))]);
     assert_eq!(actions(&early), Vec::<String>::new());
     assert_eq!(actions(&later), ["r2: unload spare"]);
 }
@@ -203,7 +207,10 @@
     with.set_demand(at(0), demand(&[("hot", 2.0)]));
 
     assert_eq!(without.tick(at(1_000)), []);
-    assert_eq!(with.tick(at(1_000)), [book::Output::Tell(name("r2"))]);
+    assert_eq!(
+        with.tick(at(1_000)),
+        [planner::Output::PublishResidency(name("r2"))]
+    );
 }
 
 // The answer to an order is lost. Whether the runner took it is not known; another
@@ -218,7 +225,7 @@
     let mut book = book(&["hot"], &all);
     book.set_demand(at(0), demand(&[("hot", 0.9)]));
     let first = orders(&book.tick(at(1_000)));
-    book.unanswered(at(1_500), &name("r2"), first[0].number);
+    book.handle_no_answer(at(1_500), &name("r2"), first[0].number);
 
     let too_early = orders(&book.tick(at(1_600)));
     let again = orders(&book.tick(at(2_300)));
@@ -239,7 +246,7 @@
     let mut book = book(&["hot"], &all);
     book.set_demand(at(0), demand(&[("hot", 0.9)]));
     let sent = orders(&book.tick(at(1_000)));
-    book.answered(
+    book.handle_verdict(
         at(1_100),
         &name("r2"),
         sent[0].number,
@@ -250,7 +257,7 @@
     let later = book.tick(at(3_000));
 
     assert_eq!(actions(&outputs), Vec::<String>::new());
-    assert_eq!(later, [book::Output::Ask(name("r2"))]);
+    assert_eq!(later, [planner::Output::FetchReport(name("r2"))]);
 }
 
 // A request wants an adapter at a runner whose model is on its way. The runner turns
@@ -265,13 +272,13 @@
     let mut book = book(&["a", "b"], &all);
     book.set_demand(at(0), demand(&[("a", 3.0)]));
     let sent = orders(&book.tick(at(1_000)));
-    book.answered(
+    book.handle_verdict(
         at(1_010),
         &name("r2"),
         sent[0].number,
         order::Verdict::Accepted,
     );
-    book.want(at(1_020), 1, &(model("b"), "b1".into()), &name("r2"), false);
+    book.request_adapter(at(1_020), 1, &(model("b"), "b1".into()), &name("r2"), false);
 
     let while_loading = orders(&book.tick(at(1_050)));
     let now_there = [all[0].clone(), announced("r2", 2, &["a", "b"], &[])];
@@ -294,7 +301,7 @@
     let mut book = book(&["a", "b"], &all);
     book.set_demand(at(0), demand(&[("a", 3.0), ("b", 0.9)]));
     let sent = orders(&book.tick(at(1_000)));
-    book.answered(
+    book.handle_verdict(
         at(1_010),
         &name("r2"),
         sent[0].number,
@@ -307,12 +314,12 @@
         5_000,
         &[all[0].clone(), announced("r2", 2, &["a"], &[])],
     );
-    book.want(at(5_050), 1, &(model("a"), "a1".into()), &name("r2"), false);
+    book.request_adapter(at(5_050), 1, &(model("a"), "a1".into()), &name("r2"), false);
     let after = orders(&book.tick(at(5_100)));
 
     assert_eq!(actions(&while_loading), Vec::<String>::new());
     assert_eq!(after[0].action.to_string(), "load a/a1");
-    assert_eq!(after[0].expect, 1);
+    assert_eq!(after[0].expected_count, 1);
 }
 
 // A new leader begins while orders of the one before may still be on their way. Runners
@@ -321,7 +328,7 @@
 fn new_leader_orders_nothing_before_the_last_one_has_stopped() {
     let service = "lm".parse().expect("a name");
     let wait = duration::Span::from_secs(3);
-    let mut book = book::Book::new(service, room(&["hot"]), at(0), wait);
+    let mut book = planner::Planner::new(service, room(&["hot"]), at(0), wait);
     let all = [
         announced("r1", 1, &["hot"], &[]),
         announced("r2", 1, &[], &[]),
@@ -329,7 +336,7 @@
     follow(&mut book, 0, &all);
     book.tick(at(10));
     for found in &all {
-        book.reported(at(20), &found.endpoint, &agreeing(found, &report(4)));
+        book.handle_report(at(20), &found.endpoint, &agreeing(found, &report(4)));
     }
     book.set_demand(at(0), demand(&[("hot", 0.9)]));
 
@@ -355,7 +362,7 @@
         for order in orders(&book.tick(at(look * 100))) {
             begun += 1;
             let verdict = order::Verdict::Accepted;
-            book.answered(at(look * 100), &order.endpoint, order.number, verdict);
+            book.handle_verdict(at(look * 100), &order.endpoint, order.number, verdict);
         }
     }
 
@@ -393,7 +400,7 @@
 fn moves_are_planned_once_in_a_period_however_much_news_comes() {
     let mut book = book(&["hot", "silent", "b", "c"], &runners_with_spare_copies());
     book.set_demand(at(0), demand(&[("hot", 0.01)]));
-    let planned = |book: &book::Book| book.dump()["plans"].as_u64().unwrap_or_default();
+    let planned = |book: &planner::Planner| book.dump()["plans"].as_u64().unwrap_or_default();
     let before = planned(&book);
 
     for millis in 0..200 {
@@ -408,15 +415,15 @@
 fn adapter_that_is_gone_wakes_nobody_before_the_deadline() {
     let mut book = book(&["m"], &[announced("r1", 1, &["m"], &[])]);
     let adapter = (model("m"), "a1".into());
-    book.want(at(1_000), 1, &adapter, &name("r1"), false);
+    book.request_adapter(at(1_000), 1, &adapter, &name("r1"), false);
     let sent = orders(&book.tick(at(1_000)));
     let accepted = order::Verdict::Accepted;
-    book.answered(at(1_004), &name("r1"), sent[0].number, accepted);
-    book.want(at(1_006), 2, &adapter, &name("r1"), true);
+    book.handle_verdict(at(1_004), &name("r1"), sent[0].number, accepted);
+    book.request_adapter(at(1_006), 2, &adapter, &name("r1"), true);
 
     book.tick(at(1_100));
 
-    let wake = book.wake();
+    let wake = book.next_wake();
     assert!(wake.is_none_or(|wake| wake > at(1_100)), "{wake:?}");
 }
 
@@ -434,7 +441,7 @@
     let mut book = book(&["hot", "silent", "b", "c"], &all);
     book.set_demand(at(1_000), demand(rates));
     book.tick(at(1_000 + millis));
-    let leaving = |(_, runner): (&id::Endpoint, &runner::Runner)| runner.leaving().cloned();
+    let leaving = |(_, runner): (&id::Endpoint, &runner::Runner)| runner.outgoing_model().cloned();
     book.runners().map(leaving).collect()
 }
 
@@ -477,10 +484,10 @@
     ];
     let mut book = book(&["m"], &all);
     let adapter = (model("m"), "a1".into());
-    book.want(at(1_000), 7, &adapter, &name("r2"), false);
+    book.request_adapter(at(1_000), 7, &adapter, &name("r2"), false);
 
     let sent = orders(&book.tick(at(1_000)));
-    book.answered(
+    book.handle_verdict(
         at(1_004),
         &name("r2"),
         sent[0].number,
@@ -490,8 +497,8 @@
     let ready = book.tick(at(1_020));
 
     assert_eq!(sent[0].action.to_string(), "load m/a1");
-    assert!(!early.contains(&book::Output::Place(7, Some(name("r2")))));
-    assert!(ready.contains(&book::Output::Place(7, Some(name("r2")))));
+    assert!(!early.contains(&planner::Output::ResolveAdapter(7, Some(name("r2")))));
+    assert!(ready.contains(&planner::Output::ResolveAdapter(7, Some(name("r2")))));
 }
 
 // All adapter places of a runner are taken. Loaded all the same, a further one makes
@@ -503,12 +510,12 @@
     held.adapters = vec![(model("m"), "a1".into()), (model("m"), "a2".into())];
     let mut book = book_of(&["m"], &all, &held);
     for (used, adapter) in [(2_000, "a1"), (5_000, "a2")] {
-        book.used(at(used), &(model("m"), adapter.into()));
+        book.mark_adapter_used(at(used), &(model("m"), adapter.into()));
     }
-    book.want(at(5_200), 1, &(model("m"), "a3".into()), &name("r1"), false);
+    book.request_adapter(at(5_200), 1, &(model("m"), "a3".into()), &name("r1"), false);
 
     let first = orders(&book.tick(at(5_200)));
-    book.answered(
+    book.handle_verdict(
         at(5_203),
         &name("r1"),
         first[0].number,
@@ -518,7 +525,7 @@
 
     assert_eq!(first[0].action.to_string(), "unload m/a1");
     assert_eq!(second[0].action.to_string(), "load m/a3");
-    assert_eq!(second[0].expect, 1);
+    assert_eq!(second[0].expected_count, 1);
 }
 
 // The leader has changed, and the new one may not order anything for three seconds.
@@ -534,13 +541,13 @@
     held.adapters = vec![(model("m"), "a1".into())];
     let wait = duration::Span::from_secs(3);
     let mut book = opening_book(wait, &["m"], &all, &[report(0), held]);
-    book.want(at(1_000), 1, &(model("m"), "a1".into()), &name("r1"), false);
-    book.want(at(1_000), 2, &(model("m"), "a2".into()), &name("r1"), false);
+    book.request_adapter(at(1_000), 1, &(model("m"), "a1".into()), &name("r1"), false);
+    book.request_adapter(at(1_000), 2, &(model("m"), "a2".into()), &name("r1"), false);
 
     let outputs = book.tick(at(1_001));
 
-    assert!(outputs.contains(&book::Output::Place(1, Some(name("r2")))));
-    assert!(outputs.contains(&book::Output::Place(2, None)));
+    assert!(outputs.contains(&planner::Output::ResolveAdapter(1, Some(name("r2")))));
+    assert!(outputs.contains(&planner::Output::ResolveAdapter(2, None)));
 }
 
 // All adapters of the engine of the entry's choice are in use. None may be dropped, so
@@ -556,9 +563,9 @@
     let wait = duration::Span::from_millis(100);
     let mut book = opening_book(wait, &["m"], &all, &[held, report(0)]);
     for adapter in ["a1", "a2"] {
-        book.used(at(5_000), &(model("m"), adapter.into()));
+        book.mark_adapter_used(at(5_000), &(model("m"), adapter.into()));
     }
-    book.want(at(5_100), 1, &(model("m"), "a3".into()), &name("r1"), false);
+    book.request_adapter(at(5_100), 1, &(model("m"), "a3".into()), &name("r1"), false);
 
     let sent = orders(&book.tick(at(5_100)));
 
@@ -581,7 +588,7 @@
     book.tick(at(1_000));
     for found in &all {
         let word = word(&book, &found.endpoint);
-        book.told(at(1_010), &word);
+        book.confirm_residency(at(1_010), &word);
     }
     let outputs = book.tick(at(1_200));
 
--- a/crates/cranberrygap-placement/tests/residency_room.rs
+++ b/crates/cranberrygap-placement/tests/residency_room.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id, number, size};
-use cranberrygap_placement::residency::{book, engine, order, runner};
+use cranberrygap_placement::residency::{engine, order, planner, runner};
 use cranberrygap_wire::{endpoint, view};
 
 const GIB: u64 = 1 << 30;
@@ -29,9 +29,9 @@
     engine::Weights {
         size: size::Bytes(10 * GIB),
         adapter_size: size::Bytes(1 << 20),
-        load: duration::Span::from_secs(4),
-        warm: duration::Span::from_millis(600),
-        disk: duration::Span::from_millis(800),
+        load_from_store: duration::Span::from_secs(4),
+        load_from_host: duration::Span::from_millis(600),
+        load_from_disk: duration::Span::from_millis(800),
     }
 }
 
@@ -42,7 +42,7 @@
         adapter_slots: 2,
         store_rate: 3.0,
         models: models.iter().map(|text| (model(text), weights())).collect(),
-        former: BTreeMap::new(),
+        former_models: BTreeMap::new(),
     }
 }
 
@@ -61,9 +61,9 @@
     serde_json::from_value(text).expect("an announcement")
 }
 
-fn follow(book: &mut book::Book, now: u64, found: &endpoint::Announcement) {
+fn follow(book: &mut planner::Planner, now: u64, found: &endpoint::Announcement) {
     let all = std::iter::once((found, view::Health::Ready));
-    book.follow(at(now), all, |_| None);
+    book.update_endpoints(at(now), all, |_| None);
 }
 
 /// What `r1` reports while it is idle.
@@ -78,23 +78,23 @@
 }
 
 /// The book of a leader that may order after 100 ms.
-fn opened(models: &[&str]) -> book::Book {
+fn opened(models: &[&str]) -> planner::Planner {
     let service = "lm".parse().expect("a name");
     let wait = duration::Span::from_millis(100);
-    book::Book::new(service, room(models), at(0), wait)
+    planner::Planner::new(service, room(models), at(0), wait)
 }
 
 /// A book that has `r1`'s announcement, and its report at 20 ms.
-fn reported(models: &[&str], found: &[&str], report: &order::Report) -> book::Book {
+fn reported(models: &[&str], found: &[&str], report: &order::Report) -> planner::Planner {
     let mut book = opened(models);
     follow(&mut book, 0, &announced(1, found));
     book.tick(at(10));
-    book.reported(at(20), &name("r1"), report);
+    book.handle_report(at(20), &name("r1"), report);
     book
 }
 
-fn want(book: &mut book::Book, now: u64, ticket: u64, text: &str) {
-    book.want(at(now), ticket, &adapter(text), &name("r1"), false);
+fn want(book: &mut planner::Planner, now: u64, ticket: u64, text: &str) {
+    book.request_adapter(at(now), ticket, &adapter(text), &name("r1"), false);
 }
 
 fn demand(rates: &[(&str, f64)]) -> BTreeMap<id::Model, f64> {
@@ -103,10 +103,10 @@
 }
 
 /// Orders that are due at a time.
-fn orders(book: &mut book::Book, now: u64) -> Vec<order::Order> {
+fn orders(book: &mut planner::Planner, now: u64) -> Vec<order::Order> {
     let outputs = book.tick(at(now)).into_iter();
     let orders = outputs.filter_map(|output| match output {
-        book::Output::Send(order) => Some(order),
+        planner::Output::Send(order) => Some(order),
         _ => None,
     });
     orders.collect()
@@ -120,19 +120,19 @@
 }
 
 /// Orders of the ten seconds after a time, as text.
-fn actions_after(book: &mut book::Book, now: u64) -> Vec<String> {
+fn actions_after(book: &mut planner::Planner, now: u64) -> Vec<String> {
     let looks = (0..100).map(|look| now + look * 100);
     let due = looks.flat_map(|now| orders(book, now));
     due.map(|order| order.action.to_string()).collect()
 }
 
 /// Orders one thing at a time and lets the runner answer it.
-fn order_and_answer(book: &mut book::Book, now: u64, verdict: order::Verdict) -> String {
+fn order_and_answer(book: &mut planner::Planner, now: u64, verdict: order::Verdict) -> String {
     let sent = orders(book, now);
     let [sent] = sent.as_slice() else {
         panic!("one order, not {sent:?}");
     };
-    book.answered(at(now + 4), &name("r1"), sent.number, verdict);
+    book.handle_verdict(at(now + 4), &name("r1"), sent.number, verdict);
     sent.action.to_string()
 }
 
@@ -158,7 +158,7 @@
     let mut book = reported(&["a", "b", "c"], &["a"], &report(0, &["a"], &[]));
     book.set_demand(at(30), demand(&[("b", 0.9)]));
     let loaded = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
-    book.reported(at(6_000), &name("r1"), &report(1, &["a", "b"], &[]));
+    book.handle_report(at(6_000), &name("r1"), &report(1, &["a", "b"], &[]));
     book.set_demand(at(6_010), demand(&[("c", 0.9)]));
 
     follow(&mut book, 6_100, &announced(2, &["a", "a/a1"]));
@@ -210,9 +210,9 @@
     let first = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
     want(&mut book, 1_010, 2, "m/a2");
     let second = orders(&mut book, 1_010);
-    book.want(at(1_012), 3, &adapter("m/a1"), &name("r1"), true);
+    book.request_adapter(at(1_012), 3, &adapter("m/a1"), &name("r1"), true);
     let accepted = order::Verdict::Accepted;
-    book.answered(at(1_014), &name("r1"), second[0].number, accepted);
+    book.handle_verdict(at(1_014), &name("r1"), second[0].number, accepted);
 
     want(&mut book, 1_020, 4, "m/a3");
     let ordered = orders(&mut book, 1_020);
@@ -230,7 +230,7 @@
     book.set_demand(at(30), demand(&[("b", 0.9)]));
     let loaded = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
     let later = report(3, &["a", "b"], &["a/a1", "a/a2"]);
-    book.reported(at(6_000), &name("r1"), &later);
+    book.handle_report(at(6_000), &name("r1"), &later);
 
     want(&mut book, 6_100, 1, "a/a3");
     let ordered = orders(&mut book, 6_100);
@@ -247,12 +247,12 @@
     book.set_demand(at(30), demand(&[("b", 0.9)]));
     let loaded = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
     // The count is to be asked for; the runner has ended the load and begun another.
-    book.want(at(4_500), 1, &adapter("b/b1"), &name("r1"), true);
+    book.request_adapter(at(4_500), 1, &adapter("b/b1"), &name("r1"), true);
     let busy = order::Report {
         busy: true,
         ..report(2, &["b"], &[])
     };
-    book.reported(at(4_600), &name("r1"), &busy);
+    book.handle_report(at(4_600), &name("r1"), &busy);
     follow(&mut book, 4_700, &announced(2, &["b"]));
     book.set_demand(at(4_710), demand(&[("b", 0.1), ("c", 0.9)]));
 
@@ -309,10 +309,13 @@
     follow(&mut book, 500, &announced(2, &["a", "c"]));
     let asked = book.tick(at(600));
 
-    assert!(asked.contains(&book::Output::Ask(name("r1"))), "{asked:?}");
+    assert!(
+        asked.contains(&planner::Output::FetchReport(name("r1"))),
+        "{asked:?}"
+    );
     let differences = book.take_differences();
     assert!(
-        differences.iter().any(|found| found.fewer.contains("b")),
+        differences.iter().any(|found| found.missing.contains("b")),
         "{differences:?}"
     );
 }
@@ -327,15 +330,15 @@
     want(&mut book, 1_010, 2, "m/a2");
     let refused = order_and_answer(&mut book, 1_010, order::Verdict::Conflict);
 
-    book.reported(at(1_100), &name("r1"), &report(0, &["m"], &[]));
+    book.handle_report(at(1_100), &name("r1"), &report(0, &["m"], &[]));
     let early = orders(&mut book, 1_800);
-    book.reported(at(2_700), &name("r1"), &report(1, &["m"], &["m/a1"]));
+    book.handle_report(at(2_700), &name("r1"), &report(1, &["m"], &["m/a1"]));
     let later = orders(&mut book, 2_800);
 
     assert_eq!(refused, "load m/a2");
     assert_eq!(early, []);
     assert_eq!(
-        later.first().map(|order| order.expect),
+        later.first().map(|order| order.expected_count),
         Some(1),
         "{later:?}"
     );
@@ -352,13 +355,16 @@
 
     let asked = book.tick(at(5_010));
     let kept = report(1, &["m"], &["m/a1", "m/a2"]);
-    book.reported(at(5_020), &name("r1"), &kept);
+    book.handle_report(at(5_020), &name("r1"), &kept);
     let early = orders(&mut book, 5_330);
-    book.reported(at(5_340), &name("r1"), &report(1, &["m"], &["m/a2"]));
+    book.handle_report(at(5_340), &name("r1"), &report(1, &["m"], &["m/a2"]));
     let later = orders(&mut book, 5_350);
 
     assert_eq!(dropped, "unload m/a1");
-    assert!(asked.contains(&book::Output::Ask(name("r1"))), "{asked:?}");
+    assert!(
+        asked.contains(&planner::Output::FetchReport(name("r1"))),
+        "{asked:?}"
+    );
     assert_eq!(early, []);
     let later: Vec<String> = later.iter().map(|order| order.action.to_string()).collect();
     assert_eq!(later, ["load m/a3"]);
@@ -376,7 +382,7 @@
         ..report(2, &[], &[])
     };
 
-    book.reported(at(20), &name("r1"), &before);
+    book.handle_report(at(20), &name("r1"), &before);
     book.set_demand(at(30), demand(&[("c", 0.9)]));
     let ordered = actions_after(&mut book, 200);
 
@@ -394,24 +400,24 @@
     restarted.boot = number::Boot(2);
     follow(&mut book, 1_100, &restarted);
     book.tick(at(1_110));
-    book.reported(at(1_120), &name("r1"), &report(0, &["m"], &[]));
+    book.handle_report(at(1_120), &name("r1"), &report(0, &["m"], &[]));
 
     let mut taken = Vec::new();
     for (number, now) in (0..10).map(|look| (look, 1_200 + look * 100)) {
         want(&mut book, now, 10 + number, &format!("m/b{number}"));
         for order in orders(&mut book, now).into_iter().filter(is_load) {
-            book.answered(
+            book.handle_verdict(
                 at(now + 4),
                 &name("r1"),
                 order.number,
                 order::Verdict::Accepted,
             );
-            taken.push(order.expect);
+            taken.push(order.expected_count);
         }
     }
 
     // At count 2 both places would be taken.
-    assert_eq!(stray[0].expect, 2);
+    assert_eq!(stray[0].expected_count, 2);
     assert_eq!(taken, [0], "{taken:?}");
 }
 
@@ -423,25 +429,25 @@
     let mut book = reported(&["a", "b"], &["a", "b"], &report(3, &["a", "b"], &[]));
     follow(&mut book, 500, &announced(2, &["a"]));
     book.tick(at(600));
-    book.reported(at(610), &name("r1"), &report(3, &["a", "b"], &[]));
+    book.handle_report(at(610), &name("r1"), &report(3, &["a", "b"], &[]));
 
     let again = book.tick(at(2_200));
-    book.reported(at(2_210), &name("r1"), &report(4, &["a"], &[]));
+    book.handle_report(at(2_210), &name("r1"), &report(4, &["a"], &[]));
     let settled = book.tick(at(4_000));
 
-    let ask = book::Output::Ask(name("r1"));
+    let ask = planner::Output::FetchReport(name("r1"));
     assert!(again.contains(&ask), "{again:?}");
     assert!(!settled.contains(&ask), "{settled:?}");
 }
 
 /// Times at which the book says what is to be told of `r1`, and orders, from a time on.
-fn told_and_ordered(book: &mut book::Book, now: u64) -> (usize, Vec<String>) {
+fn told_and_ordered(book: &mut planner::Planner, now: u64) -> (usize, Vec<String>) {
     let mut told = 0;
     let mut ordered = Vec::new();
     for output in book.tick(at(now)) {
         match output {
-            book::Output::Tell(_) => told += 1,
-            book::Output::Send(order) => ordered.push(order.action.to_string()),
+            planner::Output::PublishResidency(_) => told += 1,
+            planner::Output::Send(order) => ordered.push(order.action.to_string()),
             _ => {}
         }
     }
@@ -457,13 +463,13 @@
     let mut other = announced(1, &["hot", "spare"]);
     other.endpoint = name("r2");
     let both = [&found, &other].into_iter();
-    book.follow(
+    book.update_endpoints(
         at(0),
         both.map(|found| (found, view::Health::Ready)),
         |_| None,
     );
     book.tick(at(10));
-    book.reported(at(20), &name("r1"), &report(0, &["spare", "cold"], &[]));
+    book.handle_report(at(20), &name("r1"), &report(0, &["spare", "cold"], &[]));
     let (first, _) = told_and_ordered(&mut book, 30);
     book.set_demand(at(40), demand(&[("hot", 0.9)]));
     let (second, _) = told_and_ordered(&mut book, 1_000);
@@ -475,7 +481,7 @@
         retiring: Vec::new(),
         adapters: Vec::new(),
     };
-    book.told(at(1_010), &early);
+    book.confirm_residency(at(1_010), &early);
     let ordered: Vec<String> = (0..20)
         .flat_map(|look| told_and_ordered(&mut book, 1_100 + look * 100).1)
         .collect();
--- a/crates/cranberrygap-routing/src/load.rs
+++ b/crates/cranberrygap-routing/src/load.rs
@@ -11,7 +11,7 @@
 /// that swing between full and empty. Counting what was sent since removes the
 /// swing.
 #[derive(Debug, Clone, Default)]
-pub struct Load {
+pub struct Estimate {
     own: u32,
     reported: Option<Figure>,
     changes: VecDeque<Change>,
@@ -32,21 +32,21 @@
 /// Changes that are kept while no report comes.
 const MOST_CHANGES: usize = 4096;
 
-impl Load {
+impl Estimate {
     /// A request was sent to the endpoint.
-    pub fn sent(&mut self, now: duration::Instant) {
+    pub fn record_sent(&mut self, now: duration::Instant) {
         self.own += 1;
         self.change(now, 1);
     }
 
     /// A request at the endpoint came to its end.
-    pub fn ended(&mut self, now: duration::Instant) {
+    pub fn record_ended(&mut self, now: duration::Instant) {
         self.own = self.own.saturating_sub(1);
         self.change(now, -1);
     }
 
     /// The endpoint reported its running and waiting requests, `age` ago.
-    pub fn reported(&mut self, now: duration::Instant, age: duration::Span, requests: u32) {
+    pub fn apply_report(&mut self, now: duration::Instant, age: duration::Span, requests: u32) {
         let taken = duration::Instant(now.0.saturating_sub(age.0));
         if self.reported.is_some_and(|figure| figure.taken > taken) {
             return;
@@ -63,7 +63,7 @@
 
     /// Requests of this entry that the endpoint has.
     #[must_use]
-    pub fn own(&self) -> u32 {
+    pub fn own_requests(&self) -> u32 {
         self.own
     }
 
--- a/crates/cranberrygap-routing/src/pending.rs
+++ b/crates/cranberrygap-routing/src/pending.rs
@@ -6,7 +6,7 @@
 
 /// One waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
+pub struct Request {
     /// Its id.
     pub request: id::Request,
     /// The model or adapter.
@@ -28,7 +28,7 @@
     Late,
 }
 
-impl Waiting {
+impl Request {
     /// Whether so much of the time until its deadline is gone that it should
     /// run even where that makes a batch too large for the latency targets.
     ///
@@ -60,8 +60,8 @@
 /// Waiting requests of one workspace, each part in order of arrival.
 #[derive(Debug, Clone, Default)]
 struct Line {
-    timely: VecDeque<Waiting>,
-    late: VecDeque<Waiting>,
+    timely: VecDeque<Request>,
+    late: VecDeque<Request>,
 }
 
 const NEVER: duration::Instant = duration::Instant(u64::MAX);
@@ -78,7 +78,7 @@
     }
 
     /// Adds a request.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: Request) {
         self.earliest = self.earliest.min(waiting.deadline);
         let line = self.lines.entry(waiting.workspace.clone()).or_default();
         line.timely.push_back(waiting);
@@ -97,7 +97,7 @@
     }
 
     /// Takes out all whose deadline has come; their final answer is due at once.
-    pub fn expire(&mut self, now: duration::Instant) -> Vec<Waiting> {
+    pub fn expire(&mut self, now: duration::Instant) -> Vec<Request> {
         if now < self.earliest {
             return Vec::new();
         }
@@ -126,17 +126,17 @@
         now: duration::Instant,
         class: Class,
         served: &BTreeMap<id::Workspace, f64>,
-    ) -> Option<&Waiting> {
+    ) -> Option<&Request> {
         for line in self.lines.values_mut() {
             line.age(now, self.first_token);
         }
-        let of = |waiting: &&Waiting| served.get(&waiting.workspace).copied().unwrap_or_default();
+        let of = |waiting: &&Request| served.get(&waiting.workspace).copied().unwrap_or_default();
         let fronts = self.lines.values().filter_map(|line| line.front(class));
         fronts.min_by(|a, b| of(a).total_cmp(&of(b)))
     }
 
     /// Removes a request that was sent or cancelled.
-    pub fn remove(&mut self, workspace: &id::Workspace, request: &id::Request) -> Option<Waiting> {
+    pub fn remove(&mut self, workspace: &id::Workspace, request: &id::Request) -> Option<Request> {
         let line = self.lines.get_mut(workspace)?;
         let waiting = line.remove(request)?;
         if line.len() == 0 {
@@ -147,7 +147,7 @@
 }
 
 impl Line {
-    fn front(&self, class: Class) -> Option<&Waiting> {
+    fn front(&self, class: Class) -> Option<&Request> {
         match class {
             Class::Timely => self.timely.front(),
             Class::Late => self.late.front(),
@@ -168,7 +168,7 @@
         }
     }
 
-    fn remove(&mut self, request: &id::Request) -> Option<Waiting> {
+    fn remove(&mut self, request: &id::Request) -> Option<Request> {
         for part in [&mut self.timely, &mut self.late] {
             let position = part.iter().position(|waiting| waiting.request == *request);
             if let Some(position) = position {
--- a/crates/cranberrygap-routing/src/prompt.rs
+++ b/crates/cranberrygap-routing/src/prompt.rs
@@ -6,8 +6,8 @@
 //! those of other entries by what they tell, and of the request itself what the
 //! engine does not keep already.
 
-pub mod engine;
-pub mod memory;
-pub mod pace;
-pub mod tally;
+pub mod backlog;
+pub mod latency;
+pub mod prefix_cache;
+pub mod selection;
 pub mod window;
--- a/crates/cranberrygap-routing/src/prompt/pace.rs
+++ b/crates/cranberrygap-routing/src/prompt/latency.rs
@@ -9,7 +9,7 @@
 
 use cranberrygap_model::{duration, id};
 
-use super::tally;
+use super::backlog;
 
 /// Part of the observations that should lie below an estimate. Queues that this entry does
 /// not see lengthen what it observes, and parts of prompts that it did not know to be kept
@@ -47,12 +47,12 @@
 
 /// An estimate that follows a quantile of what is observed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Estimate {
+struct Quantile {
     micros: f64,
     seen: u32,
 }
 
-impl Estimate {
+impl Quantile {
     const fn new(micros: f64) -> Self {
         Self { micros, seen: 0 }
     }
@@ -76,11 +76,11 @@
 
 /// Speeds of one model at the engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct Estimate {
     /// Time for each prompt token.
-    read: Estimate,
+    read: Quantile,
     /// Time between two events of a stream beside which little is read.
-    event: Estimate,
+    event: Quantile,
     /// Time for each token that the caller allows as output, a mean.
     token: f64,
     /// Time from the first event to the end, a mean.
@@ -88,11 +88,11 @@
     answers: u32,
 }
 
-impl Default for Pace {
+impl Default for Estimate {
     fn default() -> Self {
         Self {
-            read: Estimate::new(FIRST_READ),
-            event: Estimate::new(FIRST_EVENT),
+            read: Quantile::new(FIRST_READ),
+            event: Quantile::new(FIRST_EVENT),
             token: FIRST_TOKEN,
             answer: 0.0,
             answers: 0,
@@ -100,45 +100,45 @@
     }
 }
 
-impl Pace {
+impl Estimate {
     /// Time in which an engine reads so many tokens.
     #[must_use]
-    pub fn reading(&self, tokens: u64) -> duration::Span {
+    pub fn prefill_time(&self, tokens: u64) -> duration::Span {
         span(tokens as f64 * self.read.micros)
     }
 
     /// Time between two events of a stream.
     #[must_use]
-    pub fn event(&self) -> duration::Span {
+    pub fn event_interval(&self) -> duration::Span {
         span(self.event.micros)
     }
 
     /// Expected time from the first event to the end of an answer.
     #[must_use]
-    pub fn answer(&self, output: u64) -> duration::Span {
+    pub fn answer_time(&self, output: u64) -> duration::Span {
         span(output as f64 * self.token)
     }
 
     /// Time of one engine that a request takes: its prompt is read alone, and while it
     /// generates it takes one of the `slots` of the batch.
     #[must_use]
-    pub fn work(&self, prompt: u64, output: u64, slots: u32) -> duration::Span {
+    pub fn engine_time(&self, prompt: u64, output: u64, slots: u32) -> duration::Span {
         let seat = output as f64 * self.token / f64::from(slots.max(1));
         span(prompt as f64 * self.read.micros + seat)
     }
 
     /// Predicted time until the first event of a request with `fresh` tokens to read.
     #[must_use]
-    pub fn first_event(
+    pub fn time_to_first_event(
         &self,
-        tally: &tally::Tally,
+        tally: &backlog::Backlog,
         rank: usize,
         fresh: u64,
         slots: u32,
     ) -> duration::Span {
-        let reading = tally.before(rank).0 + self.reading(fresh).0;
+        let reading = tally.prefill_ahead(rank).0 + self.prefill_time(fresh).0;
         let waiting = self.seat_wait(tally.running, slots);
-        duration::Span(reading + self.event().0 + waiting.0)
+        duration::Span(reading + self.event_interval().0 + waiting.0)
     }
 
     /// Time until one of the batch ends and leaves its place, when all are taken.
@@ -151,7 +151,7 @@
     }
 
     fn learn_first(&mut self, before: duration::Span, fresh: u64, took: duration::Span) {
-        if fresh < TELLING || before.0 > self.reading(fresh).0 / 10 * OTHERS_TENTHS {
+        if fresh < TELLING || before.0 > self.prefill_time(fresh).0 / 10 * OTHERS_TENTHS {
             return;
         }
         let others = before.0 as f64 + self.event.micros;
@@ -180,20 +180,20 @@
 
 /// Paces of all models of all services; one that was not met goes by its service.
 #[derive(Debug, Clone, Default)]
-pub struct Paces {
+pub struct Estimator {
     services: BTreeMap<id::Service, Known>,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Known {
-    all: Pace,
-    models: BTreeMap<id::Model, Pace>,
+    all: Estimate,
+    models: BTreeMap<id::Model, Estimate>,
 }
 
-impl Paces {
+impl Estimator {
     /// What is known of a model.
     #[must_use]
-    pub fn of(&self, service: &id::Service, model: &id::Model) -> Pace {
+    pub fn estimate(&self, service: &id::Service, model: &id::Model) -> Estimate {
         let known = self.services.get(service);
         let pace = known.map(|known| known.models.get(model).unwrap_or(&known.all));
         pace.copied().unwrap_or_default()
@@ -201,7 +201,7 @@
 
     /// The first event came `took` after a request with `fresh` prompt tokens to read was
     /// sent, behind prompts that take `before`, to an engine with a free place.
-    pub fn learn_first(
+    pub fn observe_first_event(
         &mut self,
         service: &id::Service,
         model: &id::Model,
@@ -213,12 +213,17 @@
     }
 
     /// Two events of a stream came with this pause between them.
-    pub fn learn_pause(&mut self, service: &id::Service, model: &id::Model, pause: duration::Span) {
+    pub fn observe_event_interval(
+        &mut self,
+        service: &id::Service,
+        model: &id::Model,
+        pause: duration::Span,
+    ) {
         self.each(service, model, |pace| pace.learn_pause(pause));
     }
 
     /// A whole answer to a request for `output` tokens took so long from its first event.
-    pub fn learn_answer(
+    pub fn observe_answer(
         &mut self,
         service: &id::Service,
         model: &id::Model,
@@ -228,7 +233,7 @@
         self.each(service, model, |pace| pace.learn_answer(output, took));
     }
 
-    fn each(&mut self, service: &id::Service, model: &id::Model, learn: impl Fn(&mut Pace)) {
+    fn each(&mut self, service: &id::Service, model: &id::Model, learn: impl Fn(&mut Estimate)) {
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), Known::default());
         }
--- a/crates/cranberrygap-routing/src/prompt/memory.rs
+++ b/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
@@ -32,7 +32,7 @@
 
 /// What one engine keeps.
 #[derive(Debug, Clone, Default)]
-pub struct Memory {
+pub struct Tracker {
     parts: BTreeMap<u64, duration::Instant>,
 }
 
@@ -72,10 +72,10 @@
     }
 }
 
-impl Memory {
+impl Tracker {
     /// Tokens of a prompt that are kept.
     #[must_use]
-    pub fn kept(&self, now: duration::Instant, chain: &Chain) -> u64 {
+    pub fn cached_tokens(&self, now: duration::Instant, chain: &Chain) -> u64 {
         let links = chain.links.iter();
         let kept = links.take_while(|(name, _)| {
             let used = self.parts.get(name);
@@ -85,7 +85,7 @@
     }
 
     /// A prompt was sent there.
-    pub fn sent(&mut self, now: duration::Instant, chain: &Chain) {
+    pub fn record_sent(&mut self, now: duration::Instant, chain: &Chain) {
         for (name, _) in &chain.links {
             self.parts.insert(*name, now);
         }
--- a/crates/cranberrygap-routing/src/prompt/engine.rs
+++ b/crates/cranberrygap-routing/src/prompt/selection.rs
@@ -2,7 +2,7 @@
 
 use cranberrygap_model::{duration, id};
 
-use super::{pace, tally, window};
+use super::{backlog, latency, window};
 
 /// Part of its shared tokens, in tenths, that a session is taken to find at the engine that it
 /// belongs to, while this entry has not sent it there itself.
@@ -13,7 +13,7 @@
 
 /// Weight of an engine at which the prompt would have to wait for its turn: half of the
 /// time over which sends are summed.
-const CROWDED: duration::Span = duration::Span(window::SPAN.0 / 2);
+const CROWDED: duration::Span = duration::Span(window::LENGTH.0 / 2);
 
 /// What is known of one engine that could serve a request.
 #[derive(Debug, Clone, Copy)]
@@ -21,43 +21,43 @@
     /// Its name.
     pub endpoint: &'known id::Endpoint,
     /// What waits there.
-    pub tally: tally::Tally,
+    pub backlog: backlog::Backlog,
     /// Reading of what was sent there within the last moments.
-    pub recent: duration::Span,
+    pub recent_prefill: duration::Span,
     /// Tokens of the prompt that this entry knows to be kept there.
-    pub kept: u64,
+    pub cached_tokens: u64,
     /// Whether the prompt's session belongs there.
-    pub home: bool,
+    pub has_affinity: bool,
     /// Whether it lies in this entry's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Whether it holds the adapter that is wanted, if one is.
-    pub ready: bool,
+    pub has_adapter: bool,
     /// Part of the requests sent there of late that it failed, 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// A request as the choice sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted {
+pub struct Request {
     /// Its rank, 0 is the most urgent.
     pub rank: usize,
     /// Prompt tokens.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Prompt tokens that others share.
-    pub shared: u64,
-    /// Reading that an engine may get within [`window::SPAN`].
-    pub room: duration::Span,
+    pub shared_tokens: u64,
+    /// Reading that an engine may get within [`window::LENGTH`].
+    pub prefill_budget: duration::Span,
     /// Reading beside which a large prompt may go though it does not fit.
-    pub grace: duration::Span,
+    pub large_prompt_grace: duration::Span,
     /// What requests for its model take.
-    pub pace: pace::Pace,
+    pub latency: latency::Estimate,
     /// Requests in one batch of an engine; 0 where that is not known.
     pub slots: u32,
     /// What an engine in another failure domain costs beyond one that is near,
     /// counted as waiting time.
-    pub far: duration::Span,
+    pub remote_penalty: duration::Span,
     /// What an adapter that has to be fetched costs, counted as waiting time.
-    pub fetch: duration::Span,
+    pub adapter_penalty: duration::Span,
 }
 
 /// An engine and what to expect of it.
@@ -66,72 +66,83 @@
     /// The engine.
     pub endpoint: id::Endpoint,
     /// Predicted time to the first event.
-    pub first_event: duration::Span,
+    pub time_to_first_event: duration::Span,
     /// Prompt tokens that it has to read.
-    pub fresh: u64,
+    pub uncached_tokens: u64,
     /// Time that it takes to read these.
-    pub reading: duration::Span,
+    pub prefill_time: duration::Span,
     /// Reading that waits there already.
-    pub backlog: duration::Span,
+    pub queued_prefill: duration::Span,
     /// What of it comes before this prompt.
-    pub before: duration::Span,
+    pub prefill_ahead: duration::Span,
     /// Requests that run or wait there.
     pub running: u32,
     /// Reading of what was sent there within the last moments.
-    pub recent: duration::Span,
+    pub recent_prefill: duration::Span,
 }
 
 impl Choice {
     /// Whether the prompt fits beside what was sent there lately. One that is larger
     /// than the room by itself goes to an engine that got nothing.
     #[must_use]
-    pub const fn fits(&self, wanted: &Wanted) -> bool {
-        wanted.fits(self.recent, self.reading)
+    pub const fn fits(&self, wanted: &Request) -> bool {
+        wanted.fits(self.recent_prefill, self.prefill_time)
     }
 }
 
 /// Part of the room, one in so many, from which on a prompt is large.
 const LARGE: u64 = 4;
 
-impl Wanted {
+impl Request {
     /// Whether a prompt that takes `reading` may go where as much as `recent` was sent.
     #[must_use]
     pub const fn fits(&self, recent: duration::Span, reading: duration::Span) -> bool {
-        let large = reading.0 > self.room.0 / LARGE;
+        let large = reading.0 > self.prefill_budget.0 / LARGE;
         let all = recent.0 + reading.0;
-        recent.0 == 0 || all <= self.room.0 || (large && recent.0 <= self.grace.0)
+        recent.0 == 0
+            || all <= self.prefill_budget.0
+            || (large && recent.0 <= self.large_prompt_grace.0)
     }
 }
 
 /// The engine with the earliest first event, costs counted as time.
 #[must_use]
 pub fn choose<'known>(
-    wanted: &Wanted,
+    wanted: &Request,
     candidates: impl Iterator<Item = Candidate<'known>>,
 ) -> Option<Choice> {
     let scored = candidates.map(|candidate| {
         let fresh = fresh(wanted, &candidate);
-        let pace = &wanted.pace;
-        let reading = pace.reading(fresh);
-        let first_event = pace.first_event(&candidate.tally, wanted.rank, fresh, wanted.slots);
-        let far = if candidate.near { 0 } else { wanted.far.0 };
-        let fetch = if candidate.ready { 0 } else { wanted.fetch.0 };
-        let crowded = if wanted.fits(candidate.recent, reading) {
+        let pace = &wanted.latency;
+        let reading = pace.prefill_time(fresh);
+        let first_event =
+            pace.time_to_first_event(&candidate.backlog, wanted.rank, fresh, wanted.slots);
+        let far = if candidate.same_domain {
+            0
+        } else {
+            wanted.remote_penalty.0
+        };
+        let fetch = if candidate.has_adapter {
+            0
+        } else {
+            wanted.adapter_penalty.0
+        };
+        let crowded = if wanted.fits(candidate.recent_prefill, reading) {
             0
         } else {
             CROWDED.0
         };
-        let failing = FAILURE.scaled(candidate.failing).0;
-        let cost = first_event.0 + candidate.recent.0 + far + fetch + crowded + failing;
+        let failing = FAILURE.scaled(candidate.failure_rate).0;
+        let cost = first_event.0 + candidate.recent_prefill.0 + far + fetch + crowded + failing;
         let choice = Choice {
             endpoint: candidate.endpoint.clone(),
-            first_event,
-            fresh,
-            reading,
-            backlog: candidate.tally.backlog(),
-            before: candidate.tally.before(wanted.rank),
-            running: candidate.tally.running,
-            recent: candidate.recent,
+            time_to_first_event: first_event,
+            uncached_tokens: fresh,
+            prefill_time: reading,
+            queued_prefill: candidate.backlog.total_prefill(),
+            prefill_ahead: candidate.backlog.prefill_ahead(wanted.rank),
+            running: candidate.backlog.running,
+            recent_prefill: candidate.recent_prefill,
         };
         (cost, choice)
     });
@@ -141,11 +152,13 @@
     best.map(|(_, choice)| choice)
 }
 
-fn fresh(wanted: &Wanted, candidate: &Candidate<'_>) -> u64 {
-    let likely = if candidate.home {
-        wanted.shared * LIKELY_KEPT_TENTHS / 10
+fn fresh(wanted: &Request, candidate: &Candidate<'_>) -> u64 {
+    let likely = if candidate.has_affinity {
+        wanted.shared_tokens * LIKELY_KEPT_TENTHS / 10
     } else {
         0
     };
-    wanted.prompt.saturating_sub(candidate.kept.max(likely))
+    wanted
+        .prompt_tokens
+        .saturating_sub(candidate.cached_tokens.max(likely))
 }
--- a/crates/cranberrygap-routing/src/prompt/window.rs
+++ b/crates/cranberrygap-routing/src/prompt/window.rs
@@ -9,9 +9,9 @@
 /// An event holds three tokens, and an engine reads what has come meanwhile before each
 /// of them, so what is sent to it within this time may fall into one pause of every
 /// stream that it runs.
-pub const SPAN: duration::Span = duration::Span::from_millis(300);
+pub const LENGTH: duration::Span = duration::Span::from_millis(300);
 
-/// Sends of the last [`SPAN`], oldest first.
+/// Sends of the last [`LENGTH`], oldest first.
 ///
 /// Two large prompts that reach an engine within one event of its streams make all of
 /// these late: four in five late streams were late by such a pause, five at a time,
@@ -25,9 +25,9 @@
 
 impl Window {
     /// Counts a prompt that takes `reading` microseconds, sent at `now`.
-    pub fn sent(&mut self, now: duration::Instant, reading: u32) {
+    pub fn record(&mut self, now: duration::Instant, reading: u32) {
         while let Some((at, old)) = self.sends.front().copied() {
-            if now.since(at) < SPAN {
+            if now.since(at) < LENGTH {
                 break;
             }
             self.sends.pop_front();
@@ -37,13 +37,13 @@
         self.reading += u64::from(reading);
     }
 
-    /// Time that takes what was sent within [`SPAN`] before `now`.
+    /// Time that takes what was sent within [`LENGTH`] before `now`.
     #[must_use]
-    pub fn reading(&self, now: duration::Instant) -> duration::Span {
+    pub fn prefill_time(&self, now: duration::Instant) -> duration::Span {
         let old = self
             .sends
             .iter()
-            .take_while(|(at, _)| now.since(*at) >= SPAN);
+            .take_while(|(at, _)| now.since(*at) >= LENGTH);
         let old: u64 = old.map(|(_, reading)| u64::from(*reading)).sum();
         duration::Span(self.reading - old)
     }
--- a/crates/cranberrygap-routing/src/router.rs
+++ b/crates/cranberrygap-routing/src/router.rs
@@ -16,7 +16,7 @@
 pub struct Settings {
     /// Endpoints that are compared for each request.
     #[builder(default = 3)]
-    pub choices: usize,
+    pub sample_size: usize,
     /// Target time between tokens.
     #[builder(default = duration::Span::from_millis(27))]
     pub between_tokens: duration::Span,
@@ -54,37 +54,37 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fill {
     /// Up to this part; the emptiest is best.
-    UpTo(f64),
+    Spread(f64),
     /// Up to this part, which may be above one; the fullest is best.
     ///
     /// For requests that have to run although their batch will be too large:
     /// one overfull endpoint misses its targets, rather than all of them.
-    Crowd(f64),
+    Pack(f64),
 }
 
 /// A request as routing sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
+pub struct Request<'a> {
     /// The model or adapter.
     pub model: &'a id::Model,
     /// Hashes of the prompt's leading blocks.
-    pub prompt: &'a [u64],
+    pub prompt_blocks: &'a [u64],
     /// Time until the caller's deadline.
-    pub left: duration::Span,
+    pub time_left: duration::Span,
     /// Endpoints that the plan wants to take the model's requests.
     pub preferred: &'a [id::Endpoint],
     /// How full an endpoint may be.
     pub fill: Fill,
     /// Part of its batch limit up to which an endpoint may be full that is not
     /// preferred; zero for none.
-    pub spill: f64,
+    pub spill_fill: f64,
 }
 
 /// One endpoint as an entry knows it.
 #[derive(Debug, Clone)]
-pub struct Peer {
+pub struct EndpointState {
     /// Its corrected load.
-    pub load: load::Load,
+    pub load: load::Estimate,
     /// Its batch within the latency target.
     pub batch: batch::Batch,
     /// Its cached prefixes.
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
-    peers: BTreeMap<id::Endpoint, Peer>,
+    peers: BTreeMap<id::Endpoint, EndpointState>,
 }
 
 impl Router {
@@ -112,12 +112,12 @@
     pub fn choose(
         &self,
         rng: &mut impl Rng,
-        question: &Question<'_>,
+        question: &Request<'_>,
         residency: &Residency<'_>,
     ) -> Choice {
         let endpoints = match residency {
             Residency::Resident(endpoints) => endpoints,
-            Residency::Expected(after) if *after <= question.left => return Choice::Wait,
+            Residency::Expected(after) if *after <= question.time_left => return Choice::Wait,
             Residency::Expected(after) => {
                 return Choice::Refuse {
                     retry_after: *after,
@@ -147,37 +147,42 @@
     }
 
     /// A request was sent.
-    pub fn sent(&mut self, now: duration::Instant, endpoint: &id::Endpoint) {
-        self.peer(endpoint).load.sent(now);
+    pub fn record_sent(&mut self, now: duration::Instant, endpoint: &id::Endpoint) {
+        self.peer(endpoint).load.record_sent(now);
     }
 
     /// A request ended, whole or not.
-    pub fn ended(&mut self, now: duration::Instant, endpoint: &id::Endpoint) {
-        self.peer(endpoint).load.ended(now);
+    pub fn record_ended(&mut self, now: duration::Instant, endpoint: &id::Endpoint) {
+        self.peer(endpoint).load.record_ended(now);
     }
 
     /// An answer was streamed with this mean time between tokens.
-    pub fn streamed(&mut self, endpoint: &id::Endpoint, batch: f64, gap: duration::Span) {
+    pub fn observe_token_interval(
+        &mut self,
+        endpoint: &id::Endpoint,
+        batch: f64,
+        gap: duration::Span,
+    ) {
         self.peer(endpoint).batch.observe(batch, gap);
     }
 
     /// An endpoint reported.
-    pub fn reported(&mut self, now: duration::Instant, report: &endpoint::Report) {
+    pub fn apply_report(&mut self, now: duration::Instant, report: &endpoint::Report) {
         let requests = report.running + report.waiting;
         let peer = self.peer(&report.endpoint);
-        peer.load.reported(now, report.age, requests);
+        peer.load.apply_report(now, report.age, requests);
         peer.prefix.observe(report);
     }
 
     /// What is known of an endpoint.
     #[must_use]
-    pub fn known(&self, endpoint: &id::Endpoint) -> Option<&Peer> {
+    pub fn endpoint(&self, endpoint: &id::Endpoint) -> Option<&EndpointState> {
         self.peers.get(endpoint)
     }
 
     /// All endpoints that are known.
     #[must_use]
-    pub fn peers(&self) -> &BTreeMap<id::Endpoint, Peer> {
+    pub fn endpoints(&self) -> &BTreeMap<id::Endpoint, EndpointState> {
         &self.peers
     }
 
@@ -186,13 +191,15 @@
         self.peers.retain(|endpoint, _| keep(endpoint));
     }
 
-    fn peer(&mut self, endpoint: &id::Endpoint) -> &mut Peer {
+    fn peer(&mut self, endpoint: &id::Endpoint) -> &mut EndpointState {
         let target = self.settings.between_tokens;
-        self.peers.entry(endpoint.clone()).or_insert_with(|| Peer {
-            load: load::Load::default(),
-            batch: batch::Batch::new(target),
-            prefix: prefix::Index::default(),
-        })
+        self.peers
+            .entry(endpoint.clone())
+            .or_insert_with(|| EndpointState {
+                load: load::Estimate::default(),
+                batch: batch::Batch::new(target),
+                prefix: prefix::Index::default(),
+            })
     }
 
     /// An endpoint beside the preferred ones, where it has seats to spare.
@@ -205,14 +212,14 @@
     fn spill(
         &self,
         rng: &mut impl Rng,
-        question: &Question<'_>,
+        question: &Request<'_>,
         endpoints: &[id::Endpoint],
     ) -> Option<id::Endpoint> {
-        if question.spill <= 0.0 {
+        if question.spill_fill <= 0.0 {
             return None;
         }
-        let question = Question {
-            fill: Fill::UpTo(question.spill),
+        let question = Request {
+            fill: Fill::Spread(question.spill_fill),
             ..*question
         };
         self.best(rng, &question, endpoints)
@@ -224,10 +231,10 @@
     fn best(
         &self,
         rng: &mut impl Rng,
-        question: &Question<'_>,
+        question: &Request<'_>,
         endpoints: &[id::Endpoint],
     ) -> Option<id::Endpoint> {
-        let drawn = endpoints.choose_multiple(rng, self.settings.choices);
+        let drawn = endpoints.choose_multiple(rng, self.settings.sample_size);
         let cached = self.most_cached(question, endpoints);
         let open = drawn
             .chain(cached)
@@ -239,10 +246,10 @@
 
     fn most_cached<'a>(
         &self,
-        question: &Question<'_>,
+        question: &Request<'_>,
         endpoints: &'a [id::Endpoint],
     ) -> Option<&'a id::Endpoint> {
-        if question.prompt.is_empty() {
+        if question.prompt_blocks.is_empty() {
             return None;
         }
         let hits = endpoints
@@ -256,27 +263,29 @@
         let Some(peer) = self.peers.get(endpoint) else {
             return true;
         };
-        let (Fill::UpTo(part) | Fill::Crowd(part)) = fill;
+        let (Fill::Spread(part) | Fill::Pack(part)) = fill;
         f64::from(peer.load.requests()) < f64::from(peer.batch.limit()) * part
     }
 
     /// Part of the batch that is taken, less what the cached prefix is worth.
-    fn score(&self, question: &Question<'_>, endpoint: &id::Endpoint) -> f64 {
+    fn score(&self, question: &Request<'_>, endpoint: &id::Endpoint) -> f64 {
         let Some(peer) = self.peers.get(endpoint) else {
             return 0.0;
         };
         let taken = f64::from(peer.load.requests()) / f64::from(peer.batch.limit());
-        if let Fill::Crowd(_) = question.fill {
+        if let Fill::Pack(_) = question.fill {
             return -taken;
         }
         taken - self.settings.prefix_weight * self.hit(question, endpoint)
     }
 
     /// Part of the prompt that is cached there.
-    fn hit(&self, question: &Question<'_>, endpoint: &id::Endpoint) -> f64 {
-        let blocks = question.prompt.len().max(1);
+    fn hit(&self, question: &Request<'_>, endpoint: &id::Endpoint) -> f64 {
+        let blocks = question.prompt_blocks.len().max(1);
         let peer = self.peers.get(endpoint);
-        let cached = peer.map_or(0, |peer| peer.prefix.hit(question.model, question.prompt));
+        let cached = peer.map_or(0, |peer| {
+            peer.prefix.hit(question.model, question.prompt_blocks)
+        });
         cached as f64 / blocks as f64
     }
 }
--- a/crates/cranberrygap-routing/tests/pace.rs
+++ b/crates/cranberrygap-routing/tests/pace.rs
@@ -1,7 +1,7 @@
 //! Speeds of engines, learned from what comes back.
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::{pace, tally};
+use cranberrygap_routing::prompt::{backlog, latency};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -31,27 +31,27 @@
 
 /// One request: its prompt, two pauses and its end, each up to 30% longer than it would
 /// be without the queues and other prompts that the entry does not see.
-fn serve(paces: &mut pace::Paces, name: &str, speed: Speed, rng: &mut ChaCha8Rng) {
+fn serve(paces: &mut latency::Estimator, name: &str, speed: Speed, rng: &mut ChaCha8Rng) {
     let (service, model) = (service(), model(name));
     let tokens = rng.random_range(600..3_000);
     let mut more = || rng.random_range(1.0..1.3);
     let event = speed.step * EVENT_TOKENS;
     let first = span((tokens as f64 * speed.read + event) * more());
     let nothing = duration::Span(0);
-    paces.learn_first(&service, &model, nothing, tokens, first);
+    paces.observe_first_event(&service, &model, nothing, tokens, first);
     for _pause in 0..2 {
-        paces.learn_pause(&service, &model, span(event * more()));
+        paces.observe_event_interval(&service, &model, span(event * more()));
     }
-    paces.learn_answer(&service, &model, 300, span(300.0 * speed.step * more()));
+    paces.observe_answer(&service, &model, 300, span(300.0 * speed.step * more()));
 }
 
-fn learned(speed: Speed, number: u64) -> pace::Pace {
+fn learned(speed: Speed, number: u64) -> latency::Estimate {
     let mut rng = ChaCha8Rng::seed_from_u64(number);
-    let mut paces = pace::Paces::default();
+    let mut paces = latency::Estimator::default();
     for _request in 0..REQUESTS {
         serve(&mut paces, "m", speed, &mut rng);
     }
-    paces.of(&service(), &model("m"))
+    paces.estimate(&service(), &model("m"))
 }
 
 fn is_near(known: duration::Span, true_micros: f64) -> bool {
@@ -74,11 +74,11 @@
         for seed in 0..10 {
             let pace = learned(Speed { read, step }, seed);
 
-            let reading = pace.reading(10_000);
+            let reading = pace.prefill_time(10_000);
             assert!(is_near(reading, 10_000.0 * read), "{read}: {reading}");
-            let event = pace.event();
+            let event = pace.event_interval();
             assert!(is_near(event, step * EVENT_TOKENS), "{step}: {event}");
-            let answer = pace.answer(300);
+            let answer = pace.answer_time(300);
             assert!(is_near(answer, 300.0 * step), "{step}: {answer}");
         }
     }
@@ -88,22 +88,25 @@
 // read long ago. Taken at its word the engine looked ten times as fast as it is.
 #[test]
 fn long_queues_teach_nothing_of_reading() {
-    let mut paces = pace::Paces::default();
-    let before = paces.of(&service(), &model("m")).reading(1_000);
+    let mut paces = latency::Estimator::default();
+    let before = paces.estimate(&service(), &model("m")).prefill_time(1_000);
 
     for _request in 0..50 {
         let took = duration::Span::from_millis(60);
         let before = duration::Span::from_millis(500);
-        paces.learn_first(&service(), &model("m"), before, 1_000, took);
+        paces.observe_first_event(&service(), &model("m"), before, 1_000, took);
     }
 
-    assert_eq!(paces.of(&service(), &model("m")).reading(1_000), before);
+    assert_eq!(
+        paces.estimate(&service(), &model("m")).prefill_time(1_000),
+        before
+    );
 }
 
 #[test]
 fn fast_and_slow_models_of_one_service_are_told_apart() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut paces = pace::Paces::default();
+    let mut paces = latency::Estimator::default();
     let (slow, fast) = (
         Speed {
             read: 26.0,
@@ -119,7 +122,7 @@
         serve(&mut paces, "fast", fast, &mut rng);
     }
 
-    let of = |name| paces.of(&service(), &model(name)).answer(300).0;
+    let of = |name| paces.estimate(&service(), &model(name)).answer_time(300).0;
 
     assert!(of("slow") > of("fast") * 3, "{} {}", of("slow"), of("fast"));
 }
@@ -128,7 +131,7 @@
 // not change so that the next callers are refused.
 #[test]
 fn one_stall_changes_little() {
-    let mut paces = pace::Paces::default();
+    let mut paces = latency::Estimator::default();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let speed = Speed {
         read: 26.0,
@@ -137,15 +140,15 @@
     for _request in 0..REQUESTS {
         serve(&mut paces, "m", speed, &mut rng);
     }
-    let before = paces.of(&service(), &model("m"));
+    let before = paces.estimate(&service(), &model("m"));
 
     let stall = duration::Span::from_secs(10);
-    paces.learn_first(&service(), &model("m"), duration::Span(0), 1_000, stall);
-    paces.learn_pause(&service(), &model("m"), stall);
+    paces.observe_first_event(&service(), &model("m"), duration::Span(0), 1_000, stall);
+    paces.observe_event_interval(&service(), &model("m"), stall);
 
-    let after = paces.of(&service(), &model("m"));
-    assert!(after.reading(1_000).0 as f64 <= before.reading(1_000).0 as f64 * 1.1);
-    assert!(after.event().0 as f64 <= before.event().0 as f64 * 1.1);
+    let after = paces.estimate(&service(), &model("m"));
+    assert!(after.prefill_time(1_000).0 as f64 <= before.prefill_time(1_000).0 as f64 * 1.1);
+    assert!(after.event_interval().0 as f64 <= before.event_interval().0 as f64 * 1.1);
 }
 
 // Seats of a batch fill before prompts do where answers are long. An engine whose places
@@ -160,13 +163,13 @@
         1,
     );
     let running = |count| {
-        let mut tally = tally::Tally::default();
-        (0..count).for_each(|_| tally.sent(1, 0));
+        let mut tally = backlog::Backlog::default();
+        (0..count).for_each(|_| tally.add(1, 0));
         tally
     };
 
     let [free, full, crowded] =
-        [31, 32, 48].map(|count| pace.first_event(&running(count), 1, 0, 32).0);
+        [31, 32, 48].map(|count| pace.time_to_first_event(&running(count), 1, 0, 32).0);
 
     assert!(full > free);
     assert!(crowded > full);
--- a/crates/cranberrygap-routing/tests/pacing.rs
+++ b/crates/cranberrygap-routing/tests/pacing.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::{engine, pace, tally, window};
+use cranberrygap_routing::prompt::{backlog, latency, selection, window};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -56,10 +56,10 @@
     for (arrived, fresh) in prompts {
         now = now.max(*arrived);
         let takes = reading(*fresh);
-        while window.reading(now).0 > 0 && window.reading(now).0 + takes.0 > ROOM.0 {
+        while window.prefill_time(now).0 > 0 && window.prefill_time(now).0 + takes.0 > ROOM.0 {
             now = now.after(duration::Span::from_millis(5));
         }
-        window.sent(now, u32::try_from(takes.0).expect("a small number"));
+        window.record(now, u32::try_from(takes.0).expect("a small number"));
         sent.push((now, *fresh));
     }
     sent
@@ -118,16 +118,16 @@
         .map(|((sent, _), (arrived, _))| sent.since(*arrived).0)
         .sum();
     let mean = duration::Span(total / prompts.len() as u64);
-    assert!(mean < duration::Span(window::SPAN.0 / 2), "{mean}");
+    assert!(mean < duration::Span(window::LENGTH.0 / 2), "{mean}");
 }
 
 #[test]
 fn window_forgets_what_is_older_than_its_span() {
     let mut window = window::Window::default();
-    window.sent(millis(0), 1_000);
-    window.sent(millis(200), 500);
+    window.record(millis(0), 1_000);
+    window.record(millis(200), 500);
 
-    let sums = [299, 300, 500].map(|at| window.reading(millis(at)).0);
+    let sums = [299, 300, 500].map(|at| window.prefill_time(millis(at)).0);
 
     assert_eq!(sums, [1_500, 500, 0]);
 }
@@ -136,30 +136,30 @@
 #[test]
 fn prompt_larger_than_the_room_goes_to_an_engine_that_got_nothing() {
     let name = endpoint("idle");
-    let wanted = engine::Wanted {
+    let wanted = selection::Request {
         rank: 1,
-        prompt: 9_000,
-        shared: 0,
-        room: ROOM,
-        grace: duration::Span(0),
-        pace: pace::Pace::default(),
+        prompt_tokens: 9_000,
+        shared_tokens: 0,
+        prefill_budget: ROOM,
+        large_prompt_grace: duration::Span(0),
+        latency: latency::Estimate::default(),
         slots: 64,
-        far: duration::Span(0),
-        fetch: duration::Span(0),
+        remote_penalty: duration::Span(0),
+        adapter_penalty: duration::Span(0),
     };
-    let candidate = |recent| engine::Candidate {
+    let candidate = |recent| selection::Candidate {
         endpoint: &name,
-        tally: tally::Tally::default(),
-        recent: duration::Span::from_millis(recent),
-        kept: 0,
-        home: false,
-        near: true,
-        ready: true,
-        failing: 0.0,
+        backlog: backlog::Backlog::default(),
+        recent_prefill: duration::Span::from_millis(recent),
+        cached_tokens: 0,
+        has_affinity: false,
+        same_domain: true,
+        has_adapter: true,
+        failure_rate: 0.0,
     };
 
     let fits = [0, 15].map(|recent| {
-        let choice = engine::choose(&wanted, [candidate(recent)].into_iter());
+        let choice = selection::choose(&wanted, [candidate(recent)].into_iter());
         choice.expect("a choice").fits(&wanted)
     });
 
@@ -173,39 +173,39 @@
 #[test]
 fn large_prompt_that_has_waited_goes_beside_a_full_room() {
     let name = endpoint("busy");
-    let candidate = engine::Candidate {
+    let candidate = selection::Candidate {
         endpoint: &name,
-        tally: tally::Tally::default(),
-        recent: duration::Span::from_millis(200),
-        kept: 0,
-        home: false,
-        near: true,
-        ready: true,
-        failing: 0.0,
+        backlog: backlog::Backlog::default(),
+        recent_prefill: duration::Span::from_millis(200),
+        cached_tokens: 0,
+        has_affinity: false,
+        same_domain: true,
+        has_adapter: true,
+        failure_rate: 0.0,
     };
-    let wanted = |prompt, grace| engine::Wanted {
+    let wanted = |prompt, grace| selection::Request {
         rank: 0,
-        prompt,
-        shared: 0,
-        room: ROOM,
-        grace: duration::Span::from_millis(grace),
-        pace: pace::Pace::default(),
+        prompt_tokens: prompt,
+        shared_tokens: 0,
+        prefill_budget: ROOM,
+        large_prompt_grace: duration::Span::from_millis(grace),
+        latency: latency::Estimate::default(),
         slots: 32,
-        far: duration::Span(0),
-        fetch: duration::Span(0),
+        remote_penalty: duration::Span(0),
+        adapter_penalty: duration::Span(0),
     };
 
     // At 50 us a token the large prompt takes 250 ms, the small one 60 ms.
     let fits = [(5_000, 0), (5_000, 200), (1_200, 200)].map(|(prompt, grace)| {
         let wanted = wanted(prompt, grace);
-        let choice = engine::choose(&wanted, [candidate].into_iter());
+        let choice = selection::choose(&wanted, [candidate].into_iter());
         choice.expect("a choice").fits(&wanted)
     });
-    let beside_a_little_less = engine::Wanted {
-        room: duration::Span::from_millis(250),
+    let beside_a_little_less = selection::Request {
+        prefill_budget: duration::Span::from_millis(250),
         ..wanted(1_200, 200)
     };
 
     assert_eq!(fits, [false, true, true]);
-    assert!(!beside_a_little_less.fits(candidate.recent, duration::Span::from_millis(60)));
+    assert!(!beside_a_little_less.fits(candidate.recent_prefill, duration::Span::from_millis(60)));
 }
--- a/crates/cranberrygap-routing/tests/prompt.rs
+++ b/crates/cranberrygap-routing/tests/prompt.rs
@@ -1,52 +1,52 @@
 //! The choice of the engine by the time to the first event.
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::{engine, memory, pace, tally};
+use cranberrygap_routing::prompt::{backlog, latency, prefix_cache, selection};
 
 fn endpoint(name: &str) -> id::Endpoint {
     name.parse().expect("a name")
 }
 
-fn candidate(name: &id::Endpoint, unread: u32) -> engine::Candidate<'_> {
-    let mut tally = tally::Tally::default();
+fn candidate(name: &id::Endpoint, unread: u32) -> selection::Candidate<'_> {
+    let mut tally = backlog::Backlog::default();
     // Where a token takes 50 us to read.
-    tally.sent(2, unread * 50);
-    engine::Candidate {
+    tally.add(2, unread * 50);
+    selection::Candidate {
         endpoint: name,
-        tally,
-        recent: duration::Span(0),
-        kept: 0,
-        home: false,
-        near: true,
-        ready: true,
-        failing: 0.0,
+        backlog: tally,
+        recent_prefill: duration::Span(0),
+        cached_tokens: 0,
+        has_affinity: false,
+        same_domain: true,
+        has_adapter: true,
+        failure_rate: 0.0,
     }
 }
 
-fn wanted(rank: usize) -> engine::Wanted {
-    engine::Wanted {
+fn wanted(rank: usize) -> selection::Request {
+    selection::Request {
         rank,
-        prompt: 1_460,
-        shared: 1_200,
-        room: duration::Span(u64::MAX),
-        grace: duration::Span(0),
-        pace: pace::Pace::default(),
+        prompt_tokens: 1_460,
+        shared_tokens: 1_200,
+        prefill_budget: duration::Span(u64::MAX),
+        large_prompt_grace: duration::Span(0),
+        latency: latency::Estimate::default(),
         slots: 64,
-        far: duration::Span::from_millis(200),
-        fetch: duration::Span::from_millis(60),
+        remote_penalty: duration::Span::from_millis(200),
+        adapter_penalty: duration::Span::from_millis(60),
     }
 }
 
 fn chosen<'name>(
-    wanted: &engine::Wanted,
-    candidates: impl IntoIterator<Item = engine::Candidate<'name>>,
+    wanted: &selection::Request,
+    candidates: impl IntoIterator<Item = selection::Candidate<'name>>,
 ) -> String {
-    let choice = engine::choose(wanted, candidates.into_iter());
+    let choice = selection::choose(wanted, candidates.into_iter());
     choice.expect("a choice").endpoint.to_string()
 }
 
-fn parts(ids: &[u64]) -> Vec<memory::Part> {
-    let part = |id: &u64| memory::Part {
+fn parts(ids: &[u64]) -> Vec<prefix_cache::Part> {
+    let part = |id: &u64| prefix_cache::Part {
         id: *id,
         tokens: 400,
     };
@@ -68,8 +68,8 @@
 #[test]
 fn kept_prompt_is_worth_a_short_queue_only() {
     let (keeper, free) = (endpoint("keeper"), endpoint("free"));
-    let keeping = |unread| engine::Candidate {
-        kept: 1_200,
+    let keeping = |unread| selection::Candidate {
+        cached_tokens: 1_200,
         ..candidate(&keeper, unread)
     };
 
@@ -88,9 +88,9 @@
     let name = endpoint("one");
     let waiting = candidate(&name, 20_000);
 
-    let pace = pace::Pace::default();
-    let urgent = pace.first_event(&waiting.tally, 0, 500, 64);
-    let usual = pace.first_event(&waiting.tally, 2, 500, 64);
+    let pace = latency::Estimate::default();
+    let urgent = pace.time_to_first_event(&waiting.backlog, 0, 500, 64);
+    let usual = pace.time_to_first_event(&waiting.backlog, 2, 500, 64);
 
     assert!(urgent < duration::Span::from_millis(100), "{urgent}");
     assert!(usual > duration::Span::from_millis(900), "{usual}");
@@ -99,8 +99,8 @@
 #[test]
 fn engine_in_another_failure_domain_takes_what_the_near_one_cannot() {
     let (near, far) = (endpoint("near"), endpoint("far"));
-    let far_away = || engine::Candidate {
-        near: false,
+    let far_away = || selection::Candidate {
+        same_domain: false,
         ..candidate(&far, 0)
     };
 
@@ -119,8 +119,8 @@
 #[test]
 fn failing_engine_is_used_less_though_it_looks_idle() {
     let (bad, good) = (endpoint("bad"), endpoint("good"));
-    let failing = engine::Candidate {
-        failing: 0.4,
+    let failing = selection::Candidate {
+        failure_rate: 0.4,
         ..candidate(&bad, 0)
     };
 
@@ -133,38 +133,41 @@
 #[test]
 fn part_is_kept_only_behind_all_parts_before_it() {
     let now = duration::Instant(1);
-    let mut kept = memory::Memory::default();
-    kept.sent(now, &memory::Chain::new("m", None, &parts(&[1, 2, 3])));
+    let mut kept = prefix_cache::Tracker::default();
+    kept.record_sent(
+        now,
+        &prefix_cache::Chain::new("m", None, &parts(&[1, 2, 3])),
+    );
 
-    let same = memory::Chain::new("m", None, &parts(&[1, 2, 9]));
-    let behind_other = memory::Chain::new("m", None, &parts(&[8, 2, 3]));
-    let other_adapter = memory::Chain::new("m", Some("a1"), &parts(&[1, 2, 3]));
+    let same = prefix_cache::Chain::new("m", None, &parts(&[1, 2, 9]));
+    let behind_other = prefix_cache::Chain::new("m", None, &parts(&[8, 2, 3]));
+    let other_adapter = prefix_cache::Chain::new("m", Some("a1"), &parts(&[1, 2, 3]));
 
-    assert_eq!(kept.kept(now, &same), 800);
-    assert_eq!(kept.kept(now, &behind_other), 0);
-    assert_eq!(kept.kept(now, &other_adapter), 0);
+    assert_eq!(kept.cached_tokens(now, &same), 800);
+    assert_eq!(kept.cached_tokens(now, &behind_other), 0);
+    assert_eq!(kept.cached_tokens(now, &other_adapter), 0);
 }
 
 #[test]
 fn part_that_nobody_used_for_long_is_not_counted_on() {
-    let mut kept = memory::Memory::default();
-    let chain = memory::Chain::new("m", None, &parts(&[1, 2]));
-    kept.sent(duration::Instant(0), &chain);
+    let mut kept = prefix_cache::Tracker::default();
+    let chain = prefix_cache::Chain::new("m", None, &parts(&[1, 2]));
+    kept.record_sent(duration::Instant(0), &chain);
 
     let later = duration::Instant(0).after(duration::Span::from_secs(60));
 
-    assert_eq!(kept.kept(later, &chain), 0);
+    assert_eq!(kept.cached_tokens(later, &chain), 0);
 }
 
 #[test]
 fn requests_of_one_session_belong_to_one_engine() {
     let engines = ["e1", "e2", "e3", "e4"].map(endpoint);
     let home = |last: u64| {
-        let chain = memory::Chain::new("m", None, &parts(&[1, 2, last]));
+        let chain = prefix_cache::Chain::new("m", None, &parts(&[1, 2, last]));
         let session = chain.session().expect("a session");
         let names = engines.iter();
         names
-            .max_by_key(|name| memory::affinity(session, name))
+            .max_by_key(|name| prefix_cache::affinity(session, name))
             .cloned()
     };
 
@@ -173,16 +176,16 @@
 
 #[test]
 fn tally_is_empty_again_when_all_have_ended() {
-    let mut tally = tally::Tally::default();
-    tally.sent(1, 700);
-    tally.sent(9, 300);
-    assert_eq!(tally.before(1).0, 700);
-    assert_eq!(tally.before(3).0, 1_000);
-
-    tally.read(1, 700);
-    tally.read(9, 300);
-    tally.ended();
-    tally.ended();
+    let mut tally = backlog::Backlog::default();
+    tally.add(1, 700);
+    tally.add(9, 300);
+    assert_eq!(tally.prefill_ahead(1).0, 700);
+    assert_eq!(tally.prefill_ahead(3).0, 1_000);
+
+    tally.finish_prefill(1, 700);
+    tally.finish_prefill(9, 300);
+    tally.finish_request();
+    tally.finish_request();
 
     assert!(tally.is_empty());
 }
--- a/crates/cranberrygap-routing/tests/routing.rs
+++ b/crates/cranberrygap-routing/tests/routing.rs
@@ -54,12 +54,12 @@
     residency: &router::Residency<'_>,
 ) -> router::Choice {
     let model = name("m");
-    let question = router::Question {
+    let question = router::Request {
         model: &model,
-        prompt,
-        left: duration::Span::from_secs(10),
-        fill: router::Fill::UpTo(1.0),
-        spill: 0.5,
+        prompt_blocks: prompt,
+        time_left: duration::Span::from_secs(10),
+        fill: router::Fill::Spread(1.0),
+        spill_fill: 0.5,
         preferred: &[],
     };
     router.choose(&mut SmallRng::seed_from_u64(1), &question, residency)
@@ -69,8 +69,8 @@
     router::Router::new(router::Settings::builder().build())
 }
 
-fn waiting(request: &str, workspace: &str, arrived: u64) -> pending::Waiting {
-    pending::Waiting {
+fn waiting(request: &str, workspace: &str, arrived: u64) -> pending::Request {
+    pending::Request {
         request: name(request),
         model: name("m"),
         workspace: name(workspace),
@@ -85,14 +85,14 @@
 fn lagging_reports_cause_no_herd() {
     let mut router = router();
     let endpoints = [name("a"), name("b")];
-    router.reported(millis(0), &report("a", 2, Vec::new()));
-    router.reported(millis(0), &report("b", 4, Vec::new()));
+    router.apply_report(millis(0), &report("a", 2, Vec::new()));
+    router.apply_report(millis(0), &report("b", 4, Vec::new()));
     let mut counts: BTreeMap<id::Endpoint, u32> = BTreeMap::new();
 
     for request in 1..=20 {
         let residency = router::Residency::Resident(&endpoints);
         if let router::Choice::Dispatch(endpoint) = choose(&router, &[], &residency) {
-            router.sent(millis(request), &endpoint);
+            router.record_sent(millis(request), &endpoint);
             *counts.entry(endpoint).or_default() += 1;
         }
     }
@@ -103,11 +103,11 @@
 
 #[test]
 fn load_counts_what_was_sent_since_the_report_was_taken() {
-    let mut load = load::Load::default();
-    load.sent(millis(10));
-    load.sent(millis(90));
+    let mut load = load::Estimate::default();
+    load.record_sent(millis(10));
+    load.record_sent(millis(90));
 
-    load.reported(millis(100), duration::Span::from_millis(50), 7);
+    load.apply_report(millis(100), duration::Span::from_millis(50), 7);
 
     assert_eq!(load.requests(), 8);
 }
@@ -115,7 +115,7 @@
 #[test]
 fn full_endpoints_let_the_request_wait() {
     let mut router = router();
-    router.reported(millis(0), &report("a", 16, Vec::new()));
+    router.apply_report(millis(0), &report("a", 16, Vec::new()));
 
     let choice = choose(&router, &[], &router::Residency::Resident(&[name("a")]));
 
@@ -126,8 +126,8 @@
 fn cached_prefix_draws_a_request() {
     let mut router = router();
     let endpoints = [name("a"), name("b")];
-    router.reported(millis(0), &report("a", 1, vec![stored(1, 7), stored(2, 8)]));
-    router.reported(millis(0), &report("b", 0, Vec::new()));
+    router.apply_report(millis(0), &report("a", 1, vec![stored(1, 7), stored(2, 8)]));
+    router.apply_report(millis(0), &report("b", 0, Vec::new()));
 
     let choice = choose(&router, &[7, 8], &router::Residency::Resident(&endpoints));
 
