--- a/crates/cranberrygap-entry/src/admission.rs
+++ b/crates/cranberrygap-entry/src/admission.rs
@@ -1,9 +1,9 @@
-//! Whether a workspace may spend tokens now.
+//! Token limits: decides whether a workspace may spend tokens now.
 
-mod account;
-mod exchange;
+mod loans;
 mod permit;
 mod shares;
+mod stats;
 
 use std::fmt;
 
@@ -13,49 +13,50 @@
 
 use crate::view;
 
-pub(crate) use exchange::Exchange;
+pub(crate) use loans::Exchange;
 pub(crate) use permit::Permit;
 pub(crate) use shares::Shares;
 
-/// Why tokens were not given.
+/// Why a reservation is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Refused {
+pub(crate) enum Rejection {
     /// The workspace is above its rate.
-    Now {
-        /// Time after which the same request may fit.
+    OverRate {
+        /// Time after which the same request may be admitted.
         retry_after: duration::Span,
     },
-    /// The request may cost more than the workspace can ever hold.
-    Never {
-        /// The workspace's burst.
+    /// The request may cost more tokens than the workspace's burst.
+    ExceedsBurst {
+        /// Burst of the workspace.
         burst: token::Count,
     },
 }
 
-impl Refused {
-    /// Time after which another try makes sense.
-    pub(crate) const fn wait(self) -> duration::Span {
+impl Rejection {
+    /// Time after which a retry may be admitted.
+    pub(crate) const fn retry_after(self) -> duration::Span {
         match self {
-            Self::Now { retry_after } => retry_after,
-            Self::Never { .. } => duration::Span::from_secs(60),
+            Self::OverRate { retry_after } => retry_after,
+            Self::ExceedsBurst { .. } => duration::Span::from_secs(60),
         }
     }
 }
 
-/// Spends tokens of workspaces; what it allows over all entries together stays
-/// within each workspace's rate and burst.
+/// Reserves tokens of workspaces.
+///
+/// All entries together stay within the rate and burst of each workspace.
 pub(crate) trait Limiter: fmt::Debug + Send + Sync {
-    /// Takes the upper bound of a request; waits at most `patience` for tokens.
+    /// Reserves the most tokens that a request may use, waiting up to `max_wait` for them.
     fn reserve<'call>(
         &'call self,
         workspace: &'call id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
-    ) -> BoxFuture<'call, Result<holder::Reservation, Refused>>;
-    /// Ends a reservation; what was not used goes back.
-    fn settle(&self, reservation: &holder::Reservation, used: token::Count);
-    /// Takes over rates and bursts of a new view.
+        max_wait: holder::Patience,
+    ) -> BoxFuture<'call, Result<holder::Reservation, Rejection>>;
+    /// Closes a reservation and returns its unused tokens.
+    fn close_reservation(&self, reservation: &holder::Reservation, used: token::Count);
+    /// Applies the rates and bursts of a new view.
     fn apply_view(&self, view: &view::Snapshot);
-    /// The whole state for a dump.
+    /// The whole state, for a dump.
     fn dump(&self) -> serde_json::Value;
 }
--- a/crates/cranberrygap-entry/src/admission/permit.rs
+++ b/crates/cranberrygap-entry/src/admission/permit.rs
@@ -1,4 +1,4 @@
-//! Tokens that one request has reserved.
+//! The token reservation of one request.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 
 use crate::refusal::Refusal;
 
-use super::{Limiter, Refused};
+use super::{Limiter, Rejection};
 
-/// Longest wait for tokens. A few renewals; whoever is still short then is above
-/// the rate and learns it at once.
-const PATIENCE: duration::Span = duration::Span::from_millis(500);
+/// Longest wait for tokens. It covers a few renewals; a workspace that is still short of
+/// tokens then is above its rate, and the caller hears of it at once.
+const MAX_TOKEN_WAIT: duration::Span = duration::Span::from_millis(500);
 
-/// A reservation; what was not used goes back when it is dropped.
+/// A reservation; dropping it returns the unused tokens.
 #[derive(Debug)]
 pub(crate) struct Permit {
     limiter: Arc<dyn Limiter>,
@@ -23,25 +23,25 @@
 }
 
 impl Permit {
-    /// Reserves the upper bound of a request.
+    /// Reserves the most tokens that a request may use.
     pub(crate) async fn reserve(
         limiter: &Arc<dyn Limiter>,
         workspace: &id::Workspace,
         tokens: token::Count,
     ) -> Result<Self, Refusal> {
-        let patience = holder::Patience::of(PATIENCE);
-        let outcome = Self::reserve_within(limiter, workspace, tokens, patience).await;
-        outcome.map_err(|refused| refusal(refused, tokens))
+        let max_wait = holder::Patience::of(MAX_TOKEN_WAIT);
+        let result = Self::reserve_with_max_wait(limiter, workspace, tokens, max_wait).await;
+        result.map_err(|rejection| to_refusal(rejection, tokens))
     }
 
-    /// Reserves the upper bound of a request; waits as long as `patience` says.
-    pub(crate) async fn reserve_within(
+    /// Reserves the most tokens that a request may use, waiting up to `max_wait` for them.
+    pub(crate) async fn reserve_with_max_wait(
         limiter: &Arc<dyn Limiter>,
         workspace: &id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
-    ) -> Result<Self, Refused> {
-        let reservation = limiter.reserve(workspace, tokens, patience).await?;
+        max_wait: holder::Patience,
+    ) -> Result<Self, Rejection> {
+        let reservation = limiter.reserve(workspace, tokens, max_wait).await?;
         Ok(Self {
             limiter: Arc::clone(limiter),
             reservation,
@@ -50,12 +50,12 @@
         })
     }
 
-    /// Sets what the request has used so far.
+    /// Sets the number of tokens used so far.
     pub(crate) fn set_used(&mut self, tokens: token::Count) {
         self.used = tokens;
     }
 
-    /// Counts the whole reservation as used, because what ran is not known.
+    /// Marks the whole reservation as used, because it is unknown what ran.
     pub(crate) fn mark_all_used(&mut self) {
         self.used = self.reserved;
     }
@@ -63,14 +63,14 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.limiter.settle(&self.reservation, self.used);
+        self.limiter.close_reservation(&self.reservation, self.used);
     }
 }
 
-fn refusal(refused: Refused, tokens: token::Count) -> Refusal {
-    match refused {
-        Refused::Now { retry_after } => Refusal::RateExceeded { retry_after },
-        Refused::Never { burst } => Refusal::BodyMalformed(
+fn to_refusal(rejection: Rejection, tokens: token::Count) -> Refusal {
+    match rejection {
+        Rejection::OverRate { retry_after } => Refusal::RateExceeded { retry_after },
+        Rejection::ExceedsBurst { burst } => Refusal::BodyMalformed(
             format!("it may cost {tokens} tokens, more than the workspace's burst of {burst}")
                 .into(),
         ),
--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -1,4 +1,4 @@
-//! The limiter: admits from the shares that the leader leases to this entry.
+//! The limiter: admits requests from the shares that the leader leases to this entry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,104 +14,112 @@
 use crate::core;
 use crate::view;
 
-use super::account::Account;
-use super::{Limiter, Refused};
+use super::stats::Stats;
+use super::{Limiter, Rejection};
 
-/// Longest wait for the leader's answer, after which another one is asked.
-const ANSWER: duration::Span = duration::Span::from_millis(700);
+/// Longest wait for the leader's answer, after which another process is asked.
+const RENEWAL_TIMEOUT: duration::Span = duration::Span::from_millis(700);
 
-/// Longest time between two looks whether something is due.
-const LOOK: duration::Span = duration::Span::from_secs(1);
+/// Longest sleep between two checks whether something is due.
+const MAX_SLEEP: duration::Span = duration::Span::from_secs(1);
 
-/// Longest wait that callers are told.
-const LONGEST_RETRY: duration::Span = duration::Span::from_secs(60);
+/// Largest retry delay that callers are given.
+const MAX_RETRY_AFTER: duration::Span = duration::Span::from_secs(60);
 
 /// Shares of this entry and the requests that wait for tokens.
 #[derive(Debug)]
 pub(crate) struct Shares {
     clock: clock::Clock,
     inner: Mutex<Inner>,
-    /// Somebody waits for tokens, so that a renewal may be due earlier.
-    asked: Notify,
-    /// The same for a question to an entry that lends.
-    borrows: Notify,
-    /// What this entry lends has changed.
-    lends: Notify,
+    /// Wakes the renewal task, since a waiting request may make a renewal due earlier.
+    renewal_wake: Notify,
+    /// Wakes the borrowing task, since a loan request may be due earlier.
+    borrowing_wake: Notify,
+    /// Wakes the lending task, since the workspaces that this entry lends for may have
+    /// changed.
+    lending_wake: Notify,
 }
 
 #[derive(Debug)]
 struct Inner {
     holder: holder::Holder,
-    lending: lending::Lending,
-    own: id::Instance,
-    /// Where entries lend.
-    addresses: BTreeMap<id::Instance, address::Socket>,
-    waiting: BTreeMap<u64, oneshot::Sender<holder::Decision>>,
+    lender: lending::Lending,
+    instance: id::Instance,
+    /// Addresses at which entries lend.
+    lender_addresses: BTreeMap<id::Instance, address::Socket>,
+    waiters: BTreeMap<u64, oneshot::Sender<holder::Decision>>,
     limits: BTreeMap<id::Workspace, limits::Limit>,
-    account: Account,
+    stats: Stats,
 }
 
 impl Inner {
-    /// Takes over who lends what, and where. An entry that has left lends no more.
-    fn follow_lenders(&mut self, now: duration::Instant, view: &view::Snapshot) {
+    /// Updates who lends which workspace's tokens, and at which address. An entry that has
+    /// left no longer lends.
+    fn update_lenders(&mut self, now: duration::Instant, view: &view::Snapshot) {
         let members = view.members().values();
-        let lending = members.filter(|member| member.phase != wire_view::Phase::Left);
-        let addresses = lending.filter_map(|member| {
+        let active = members.filter(|member| member.phase != wire_view::Phase::Left);
+        let addresses = active.filter_map(|member| {
             let address = member.lending?;
             Some((member.instance.clone(), address))
         });
-        self.addresses = addresses.collect();
+        self.lender_addresses = addresses.collect();
         let lenders = view.lenders().iter();
-        let lenders = lenders.filter(|(_, lender)| self.addresses.contains_key(*lender));
+        let lenders = lenders.filter(|(_, lender)| self.lender_addresses.contains_key(*lender));
         let lenders = lenders.map(|(workspace, lender)| (workspace.clone(), lender.clone()));
         let lenders: BTreeMap<id::Workspace, id::Instance> = lenders.collect();
         self.holder.set_lenders(now, &lenders);
-        let own = lenders.iter().filter(|(_, lender)| **lender == self.own);
-        let own: Vec<id::Workspace> = own.map(|(workspace, _)| workspace.clone()).collect();
-        self.lending.follow(now, &own);
+        let own_workspaces = lenders
+            .iter()
+            .filter(|(_, lender)| **lender == self.instance);
+        let own_workspaces: Vec<id::Workspace> = own_workspaces
+            .map(|(workspace, _)| workspace.clone())
+            .collect();
+        self.lender.follow(now, &own_workspaces);
     }
 }
 
-/// A place in the line; given up when the caller leaves.
-struct Place<'shares> {
+/// The place of a waiting request in the queue.
+///
+/// Dropping it, as when the caller leaves, frees the place.
+struct Guard<'shares> {
     shares: &'shares Shares,
     ticket: u64,
 }
 
-impl Drop for Place<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
         let mut inner = self.shares.inner.lock();
-        if inner.waiting.remove(&self.ticket).is_some() {
+        if inner.waiters.remove(&self.ticket).is_some() {
             inner.holder.abandon(self.ticket);
         }
     }
 }
 
 impl Shares {
-    /// No shares yet.
+    /// A limiter without any shares yet.
     pub(crate) fn new(clock: clock::Clock, instance: id::Instance, boot: number::Boot) -> Self {
         Self {
             clock,
             inner: Mutex::new(Inner {
-                own: instance.clone(),
-                lending: lending::Lending::new(instance.clone(), boot),
+                instance: instance.clone(),
+                lender: lending::Lending::new(instance.clone(), boot),
                 holder: holder::Holder::new(instance, boot),
-                addresses: BTreeMap::new(),
-                waiting: BTreeMap::new(),
+                lender_addresses: BTreeMap::new(),
+                waiters: BTreeMap::new(),
                 limits: BTreeMap::new(),
-                account: Account::default(),
+                stats: Stats::default(),
             }),
-            asked: Notify::new(),
-            borrows: Notify::new(),
-            lends: Notify::new(),
+            renewal_wake: Notify::new(),
+            borrowing_wake: Notify::new(),
+            lending_wake: Notify::new(),
         }
     }
 
-    /// Renews the shares and serves who waits, until the process stops.
+    /// Renews the shares and admits waiting requests until the process stops.
     pub(crate) async fn run(self: Arc<Self>, core: Arc<core::Core>) {
         loop {
-            self.rest().await;
-            if let Some(line) = self.inner.lock().account.line(self.clock.now()) {
+            self.wait_for_renewal().await;
+            if let Some(line) = self.inner.lock().stats.summary_line(self.clock.now()) {
                 spdlog::info!("limits: {line}");
             }
             if self.inner.lock().holder.due() <= self.clock.now() {
@@ -120,174 +128,181 @@
         }
     }
 
-    /// Renews what this entry lends, until the process stops.
+    /// Renews the shares that this entry lends until the process stops.
     pub(crate) async fn run_lending(self: Arc<Self>, core: Arc<core::Core>) {
         loop {
-            let due = self.inner.lock().lending.due();
-            let span = due.since(self.clock.now()).min(LOOK);
+            let due = self.inner.lock().lender.due();
+            let sleep = due.since(self.clock.now()).min(MAX_SLEEP);
             tokio::select! {
-                () = tokio::time::sleep(span.to_std()) => {}
-                () = self.lends.notified() => {}
+                () = tokio::time::sleep(sleep.to_std()) => {}
+                () = self.lending_wake.notified() => {}
             }
-            if self.inner.lock().lending.due() <= self.clock.now() {
-                self.renew_lending(&core).await;
+            if self.inner.lock().lender.due() <= self.clock.now() {
+                self.renew_lent_shares(&core).await;
             }
         }
     }
 
-    async fn renew_lending(&self, core: &core::Core) {
-        let renewal = self.inner.lock().lending.renew(self.clock.now());
-        let answer = core
+    async fn renew_lent_shares(&self, core: &core::Core) {
+        let renewal = self.inner.lock().lender.renew(self.clock.now());
+        let result = core
             .leader
             .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, lending::PATIENCE)
             .await;
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        match answer {
+        match result {
             Ok(granted) => {
-                inner.lending.granted(now, &granted);
+                inner.lender.granted(now, &granted);
             }
             Err(cause) => {
                 spdlog::debug!("limits: what is lent is not renewed: {cause}");
-                inner.lending.failed(renewal.sequence);
+                inner.lender.failed(renewal.sequence);
             }
         }
     }
 
-    /// Hands all tokens back, as the last thing before the process ends.
+    /// Returns all tokens to the leader, as the last step before the process ends.
     pub(crate) async fn return_all(&self, core: &core::Core) {
-        let lends = {
+        let has_lent_shares = {
             let now = self.clock.now();
             let mut inner = self.inner.lock();
             inner.holder.close(now);
-            inner.lending.close(now);
-            !inner.lending.is_empty()
+            inner.lender.close(now);
+            !inner.lender.is_empty()
         };
-        if lends {
-            self.renew_lending(core).await;
+        if has_lent_shares {
+            self.renew_lent_shares(core).await;
         }
         self.renew(core).await;
     }
 
-    /// Waits until a question to an entry that lends may be due.
-    pub(super) async fn borrowing(&self) {
+    /// Waits until a loan request may be due.
+    pub(super) async fn wait_for_borrowing(&self) {
         let due = self.inner.lock().holder.asks_at();
-        let span = due.map_or(LOOK, |due| due.since(self.clock.now()).min(LOOK));
+        let sleep = due.map_or(MAX_SLEEP, |due| due.since(self.clock.now()).min(MAX_SLEEP));
         tokio::select! {
-            () = tokio::time::sleep(span.to_std()) => {}
-            () = self.borrows.notified() => {}
+            () = tokio::time::sleep(sleep.to_std()) => {}
+            () = self.borrowing_wake.notified() => {}
         }
     }
 
-    /// Questions to send now, and where to; this entry's own are answered here.
-    pub(super) fn questions(&self, own: &id::Instance) -> Vec<(address::Socket, share::Renew)> {
+    /// Loan requests to send now, with their addresses.
+    ///
+    /// Requests to this entry itself are answered here.
+    pub(super) fn due_loan_requests(
+        &self,
+        own_instance: &id::Instance,
+    ) -> Vec<(address::Socket, share::Renew)> {
         let now = self.clock.now();
-        let mut sent = Vec::new();
+        let mut outgoing = Vec::new();
         let mut inner = self.inner.lock();
-        for (lender, question) in inner.holder.ask(now) {
-            if lender == *own {
-                let answer = inner.lending.answer(now, &question);
-                if let Some(answer) = answer {
-                    inner.holder.lent(now, own, &answer);
+        for (lender, request) in inner.holder.ask(now) {
+            if lender == *own_instance {
+                let loan = inner.lender.answer(now, &request);
+                if let Some(loan) = loan {
+                    inner.holder.lent(now, own_instance, &loan);
                 }
                 continue;
             }
-            if let Some(address) = inner.addresses.get(&lender) {
-                sent.push((*address, question));
+            if let Some(address) = inner.lender_addresses.get(&lender) {
+                outgoing.push((*address, request));
             }
         }
         drop(inner);
-        self.serve();
-        sent
+        self.deliver_decisions();
+        outgoing
     }
 
-    /// Answers a question of the entry that lends at `from`; `None` for one that is not known.
-    pub(super) fn answer(
+    /// Answers a loan request of the entry at `from`; `None` for an unknown entry.
+    pub(super) fn answer_loan_request(
         &self,
         from: address::Socket,
-        question: &share::Renew,
+        request: &share::Renew,
     ) -> Option<share::Granted> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let known = inner.addresses.get(&question.instance) == Some(&from);
-        if !known {
+        let is_known = inner.lender_addresses.get(&request.instance) == Some(&from);
+        if !is_known {
             return None;
         }
-        inner.lending.answer(now, question)
+        inner.lender.answer(now, request)
     }
 
-    /// Takes what the entry at `from` lends.
-    pub(super) fn lent(&self, from: address::Socket, answer: &share::Granted) {
+    /// Applies a loan from the entry at `from`.
+    pub(super) fn apply_loan(&self, from: address::Socket, loan: &share::Granted) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let mut known = inner.addresses.iter();
-        let lender = known.find(|(_, address)| **address == from);
+        let mut addresses = inner.lender_addresses.iter();
+        let lender = addresses.find(|(_, address)| **address == from);
         let Some(lender) = lender.map(|(lender, _)| lender.clone()) else {
             return;
         };
-        inner.holder.lent(now, &lender, answer);
+        inner.holder.lent(now, &lender, loan);
         drop(inner);
-        self.serve();
+        self.deliver_decisions();
     }
 
-    /// Waits until a renewal is due, and decides on waiting requests meanwhile.
-    async fn rest(&self) {
+    /// Waits until a renewal is due; decides on waiting requests meanwhile.
+    async fn wait_for_renewal(&self) {
         let (due, wake) = {
             let inner = self.inner.lock();
             (inner.holder.due(), inner.holder.wake())
         };
         let until = wake.map_or(due, |wake| due.min(wake));
-        let span = until.since(self.clock.now()).min(LOOK);
+        let sleep = until.since(self.clock.now()).min(MAX_SLEEP);
         tokio::select! {
-            () = tokio::time::sleep(span.to_std()) => {}
-            () = self.asked.notified() => {}
+            () = tokio::time::sleep(sleep.to_std()) => {}
+            () = self.renewal_wake.notified() => {}
         }
-        self.serve();
+        self.deliver_decisions();
     }
 
     async fn renew(&self, core: &core::Core) {
-        let begin = self.clock.now();
+        let started = self.clock.now();
         let renewal = {
             let mut inner = self.inner.lock();
             let reason = inner.holder.reason();
-            inner.account.renewed(reason);
-            inner.holder.renew(begin)
+            inner.stats.record_renewal(reason);
+            inner.holder.renew(started)
         };
-        let asking = core
-            .leader
-            .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, ANSWER);
-        tokio::pin!(asking);
-        let answer = loop {
+        let call =
+            core.leader
+                .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, RENEWAL_TIMEOUT);
+        tokio::pin!(call);
+        let result = loop {
             let wake = self.inner.lock().holder.wake();
-            let rest = wake.map_or(ANSWER, |wake| wake.since(self.clock.now()));
+            let sleep = wake.map_or(RENEWAL_TIMEOUT, |wake| wake.since(self.clock.now()));
             tokio::select! {
-                answer = &mut asking => break answer,
-                () = tokio::time::sleep(rest.to_std()) => self.serve(),
+                result = &mut call => break result,
+                () = tokio::time::sleep(sleep.to_std()) => self.deliver_decisions(),
             }
         };
         let now = self.clock.now();
         {
             let mut inner = self.inner.lock();
-            inner.account.answered(now.since(begin), answer.is_ok());
-            match answer {
+            inner
+                .stats
+                .record_answer(now.since(started), result.is_ok());
+            match result {
                 Ok(granted) => {
                     inner.holder.granted(now, &granted);
                 }
                 Err(_cause) => inner.holder.failed(renewal.sequence),
             }
         }
-        self.serve();
+        self.deliver_decisions();
     }
 
-    /// Tells waiting requests what is decided on them.
-    fn serve(&self) {
+    /// Passes decisions on to the requests that wait for them.
+    fn deliver_decisions(&self) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         for (ticket, decision) in inner.holder.poll(now) {
-            let Some(waiter) = inner.waiting.remove(&ticket) else {
+            let Some(waiter) = inner.waiters.remove(&ticket) else {
                 continue;
             };
-            // Whoever has left meanwhile used nothing.
+            // The caller has left meanwhile, so nothing was used.
             if let Err(holder::Decision::Admitted(unused)) = waiter.send(decision) {
                 inner.holder.settle(now, &unused, token::Count(0));
             }
@@ -300,23 +315,25 @@
             .limits
             .get(workspace)
             .map_or(0.0, |limit| limit.rate.0);
-        let longest = LONGEST_RETRY.as_secs_f64();
-        let seconds = (tokens.0 as f64 / rate.max(1.0)).clamp(1.0, longest).ceil();
+        let max_seconds = MAX_RETRY_AFTER.as_secs_f64();
+        let seconds = (tokens.0 as f64 / rate.max(1.0))
+            .clamp(1.0, max_seconds)
+            .ceil();
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "clamped to the longest wait just above"
+            reason = "clamped to the longest delay just above"
         )]
         let seconds = seconds as u64;
         duration::Span::from_secs(seconds)
     }
 
-    async fn take(
+    async fn reserve_tokens(
         &self,
         workspace: &id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
-    ) -> Result<holder::Reservation, Refused> {
+        max_wait: holder::Patience,
+    ) -> Result<holder::Reservation, Rejection> {
         let burst = self
             .inner
             .lock()
@@ -324,37 +341,37 @@
             .get(workspace)
             .map(|limit| limit.burst);
         if let Some(burst) = burst.filter(|burst| tokens > *burst) {
-            return Err(Refused::Never { burst });
+            return Err(Rejection::ExceedsBurst { burst });
         }
-        let begin = self.clock.now();
-        let (ticket, decided) = {
-            let now = begin;
+        let started = self.clock.now();
+        let (ticket, decision) = {
+            let now = started;
             let mut inner = self.inner.lock();
-            match inner.holder.admit(now, workspace, tokens, patience) {
+            match inner.holder.admit(now, workspace, tokens, max_wait) {
                 holder::Verdict::Admitted(reservation) => {
-                    inner.account.served_at_once();
+                    inner.stats.record_admitted_at_once();
                     return Ok(reservation);
                 }
                 holder::Verdict::Waiting(ticket) => {
-                    let (sender, decided) = oneshot::channel();
-                    inner.waiting.insert(ticket, sender);
-                    (ticket, decided)
+                    let (sender, decision) = oneshot::channel();
+                    inner.waiters.insert(ticket, sender);
+                    (ticket, decision)
                 }
             }
         };
-        let _place = Place {
+        let _guard = Guard {
             shares: self,
             ticket,
         };
-        self.asked.notify_one();
-        self.borrows.notify_one();
-        let decided = decided.await;
-        let served = matches!(decided, Ok(holder::Decision::Admitted(_)));
-        let waited = self.clock.now().since(begin);
-        self.inner.lock().account.waited(waited, served);
-        match decided {
+        self.renewal_wake.notify_one();
+        self.borrowing_wake.notify_one();
+        let decision = decision.await;
+        let admitted = matches!(decision, Ok(holder::Decision::Admitted(_)));
+        let waited = self.clock.now().since(started);
+        self.inner.lock().stats.record_wait(waited, admitted);
+        match decision {
             Ok(holder::Decision::Admitted(reservation)) => Ok(reservation),
-            Ok(holder::Decision::Refused(_)) | Err(_) => Err(Refused::Now {
+            Ok(holder::Decision::Refused(_)) | Err(_) => Err(Rejection::OverRate {
                 retry_after: self.retry_after(workspace, tokens),
             }),
         }
@@ -366,12 +383,12 @@
         &'call self,
         workspace: &'call id::Workspace,
         tokens: token::Count,
-        patience: holder::Patience,
-    ) -> BoxFuture<'call, Result<holder::Reservation, Refused>> {
-        Box::pin(self.take(workspace, tokens, patience))
+        max_wait: holder::Patience,
+    ) -> BoxFuture<'call, Result<holder::Reservation, Rejection>> {
+        Box::pin(self.reserve_tokens(workspace, tokens, max_wait))
     }
 
-    fn settle(&self, reservation: &holder::Reservation, used: token::Count) {
+    fn close_reservation(&self, reservation: &holder::Reservation, used: token::Count) {
         let now = self.clock.now();
         self.inner.lock().holder.settle(now, reservation, used);
     }
@@ -390,30 +407,30 @@
         });
         let planned = view.traffic().into_iter();
         let planned = planned.flat_map(|table| &table.plan().workspaces);
-        let planned = planned.map(|found| {
+        let planned = planned.map(|planned_workspace| {
             let limit = limits::Limit {
-                rate: found.rate,
-                burst: found.burst,
+                rate: planned_workspace.rate,
+                burst: planned_workspace.burst,
             };
-            (found.workspace.clone(), limit)
+            (planned_workspace.workspace.clone(), limit)
         });
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         inner.limits = limits.chain(planned).collect();
         inner.holder.set_entries(view.entries());
-        inner.lending.set_entries(view.entries());
-        inner.follow_lenders(now, view);
+        inner.lender.set_entries(view.entries());
+        inner.update_lenders(now, view);
         drop(inner);
-        self.lends.notify_one();
-        self.borrows.notify_one();
+        self.lending_wake.notify_one();
+        self.borrowing_wake.notify_one();
     }
 
     fn dump(&self) -> serde_json::Value {
         let inner = self.inner.lock();
         serde_json::json!({
             "shares": inner.holder.dump(),
-            "lends": inner.lending.dump(),
-            "waiting": inner.waiting.len(),
+            "lends": inner.lender.dump(),
+            "waiting": inner.waiters.len(),
         })
     }
 }
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -376,7 +376,7 @@
         in_line: duration::Span(objective.0 / LINE_PART).min(LINE_WAIT),
         for_leader: duration::Span(given.0 / LEADER_PART),
     };
-    let reserved = admission::Permit::reserve_within(limiter, &payer.name, cost, patience);
+    let reserved = admission::Permit::reserve_with_max_wait(limiter, &payer.name, cost, patience);
     let permit = tokio::select! {
         biased;
         permit = reserved => permit,
@@ -385,7 +385,7 @@
     match permit {
         Ok(permit) => Ok(Some(permit)),
         Err(refused) => Err(Failure::OverRate {
-            wait: failure::spread(refused.wait()),
+            wait: failure::spread(refused.retry_after()),
         }),
     }
 }
