--- a/crates/cranberrygap-entry/src/route.rs
+++ b/crates/cranberrygap-entry/src/route.rs
@@ -1,4 +1,4 @@
-//! Which endpoint serves a request.
+//! Routing: chooses the endpoint that serves a request.
 
 pub(crate) mod least_loaded;
 
@@ -10,58 +10,59 @@
 
 use crate::view;
 
-/// Endpoints that a request was already sent to. Retries are few.
+/// Endpoints that a request was already sent to. Few requests are sent more than once or
+/// twice.
 pub(crate) type Tried = SmallVec<[id::Endpoint; 3]>;
 
-/// What is wanted.
+/// What a request needs from an endpoint.
 #[derive(Debug)]
 pub(crate) struct Query<'request> {
-    /// The model, when a runner is wanted.
+    /// The model, if the request needs a runner.
     pub model: Option<&'request id::Model>,
-    /// The plain service, when one is wanted.
+    /// The service, if the request needs a plain service.
     pub service: Option<&'request id::Service>,
-    /// Endpoints not to use again.
+    /// Endpoints to leave out.
     pub tried: &'request Tried,
 }
 
-/// The endpoint that was chosen.
+/// The endpoint that a request is sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Destination {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: id::Endpoint,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: address::Socket,
-    /// The boot that the choice was made for.
+    /// Boot of the endpoint at the time of the choice.
     pub boot: number::Boot,
 }
 
-/// A runner whose load may be asked for.
+/// A runner that can be asked for its load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Runner {
-    /// Its name.
+    /// Name of the runner.
     pub endpoint: id::Endpoint,
-    /// Where it listens.
+    /// Address at which the runner listens.
     pub address: address::Socket,
-    /// Whether this entry sent a request there of late.
+    /// Whether this entry sent a request there recently.
     pub recently_used: bool,
 }
 
-/// Chooses endpoints and learns from what becomes of the requests.
+/// Chooses endpoints and records the outcome of the requests sent to them.
 pub(crate) trait Router: fmt::Debug + Send + Sync {
-    /// An endpoint for the request, and counts the request as sent there.
-    fn choose(&self, now: duration::Instant, wanted: &Query<'_>) -> Option<Destination>;
-    /// A request that was sent has ended; `failed` tells that the endpoint broke it.
-    fn record_ended(&self, now: duration::Instant, choice: &Destination, failed: bool);
-    /// Takes over the endpoints of a new view.
+    /// Chooses an endpoint for the request and counts the request as sent there.
+    fn choose(&self, now: duration::Instant, query: &Query<'_>) -> Option<Destination>;
+    /// Records that a request ended; `failed` tells that the endpoint broke it.
+    fn record_ended(&self, now: duration::Instant, destination: &Destination, failed: bool);
+    /// Applies the endpoints of a new view.
     fn apply_view(&self, view: &view::Snapshot);
-    /// Takes a report of an endpoint.
+    /// Applies a load report of an endpoint.
     fn apply_report(&self, now: duration::Instant, report: &endpoint::Report);
-    /// The endpoint told this entry that it leaves.
+    /// Marks an endpoint that announced to this entry that it leaves.
     fn mark_leaving(&self, endpoint: &id::Endpoint);
     /// Number of ready runners that hold a model.
     fn ready_runner_count(&self, model: &id::Model) -> usize;
-    /// All runners, and whether this entry used them of late.
+    /// All runners, and whether this entry used them recently.
     fn runners(&self, now: duration::Instant) -> Vec<Runner>;
-    /// The whole state for a dump.
+    /// The whole state, for a dump.
     fn dump(&self) -> serde_json::Value;
 }
--- a/crates/cranberrygap-entry/src/route/least_loaded.rs
+++ b/crates/cranberrygap-entry/src/route/least_loaded.rs
@@ -1,4 +1,4 @@
-//! Sends each request to the best of a few endpoints by their corrected load.
+//! Router that sends each request to the least loaded of a few endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,21 +14,20 @@
 
 use super::{Destination, Query, Runner};
 
-/// Time for which an endpoint that broke a request is used only when there is
-/// no other.
-const DISTRUST: duration::Span = duration::Span::from_millis(1000);
+/// Time after a broken request during which an endpoint is used only if no other is left.
+const FAILURE_BACKOFF: duration::Span = duration::Span::from_millis(1000);
 
-/// Time after its last request for which a runner's load matters here.
-const USE: duration::Span = duration::Span::from_secs(10);
+/// Time after the last request during which this entry needs a runner's load.
+const RECENT_USE: duration::Span = duration::Span::from_secs(10);
 
-/// Time that a request is taken to have left; the queue before this has its own
+/// Time left that is assumed for each request. The queue ahead of the router has its own
 /// deadline and has let the request through.
-const LEFT: duration::Span = duration::Span::from_secs(1);
+const ASSUMED_TIME_LEFT: duration::Span = duration::Span::from_secs(1);
 
-/// A bound that no endpoint reaches: the emptiest takes the request.
-const ANY_FILL: router::Fill = router::Fill::UpTo(f64::MAX);
+/// A limit that no endpoint reaches: the emptiest endpoint takes the request.
+const UNLIMITED_FILL: router::Fill = router::Fill::UpTo(f64::MAX);
 
-/// Power of few choices over lagging reports, corrected by what was sent since.
+/// Power of few choices over delayed reports, corrected by the requests sent since.
 #[derive(Debug)]
 pub(crate) struct Router {
     inner: Mutex<Inner>,
@@ -38,13 +37,13 @@
 struct Inner {
     router: router::Router,
     rng: SmallRng,
-    /// As the view has them, shared with it.
+    /// Endpoints of the current view, shared with it.
     endpoints: Arc<BTreeMap<id::Endpoint, wire_view::Endpoint>>,
     by_model: BTreeMap<id::Model, Vec<id::Endpoint>>,
     by_service: BTreeMap<id::Service, Vec<id::Endpoint>>,
-    left: BTreeSet<id::Endpoint>,
-    failed: BTreeMap<id::Endpoint, duration::Instant>,
-    used: BTreeMap<id::Endpoint, duration::Instant>,
+    leaving: BTreeSet<id::Endpoint>,
+    failed_at: BTreeMap<id::Endpoint, duration::Instant>,
+    last_used_at: BTreeMap<id::Endpoint, duration::Instant>,
 }
 
 impl Router {
@@ -56,9 +55,9 @@
             endpoints: Arc::default(),
             by_model: BTreeMap::new(),
             by_service: BTreeMap::new(),
-            left: BTreeSet::new(),
-            failed: BTreeMap::new(),
-            used: BTreeMap::new(),
+            leaving: BTreeSet::new(),
+            failed_at: BTreeMap::new(),
+            last_used_at: BTreeMap::new(),
         };
         Self {
             inner: Mutex::new(inner),
@@ -67,75 +66,78 @@
 }
 
 impl Inner {
-    /// Ready endpoints that serve what is wanted and were not tried.
-    fn candidates(&self, wanted: &Query<'_>) -> Vec<id::Endpoint> {
-        let by_model = wanted.model.and_then(|model| self.by_model.get(model));
-        let by_service = wanted
+    /// Ready endpoints that serve the query and were not tried.
+    fn candidates(&self, query: &Query<'_>) -> Vec<id::Endpoint> {
+        let by_model = query.model.and_then(|model| self.by_model.get(model));
+        let by_service = query
             .service
             .and_then(|service| self.by_service.get(service));
-        let holders = by_model.or(by_service).into_iter().flatten();
-        let open =
-            holders.filter(|name| !wanted.tried.contains(name) && !self.left.contains(*name));
-        open.cloned().collect()
+        let serving = by_model.or(by_service).into_iter().flatten();
+        let untried =
+            serving.filter(|name| !query.tried.contains(name) && !self.leaving.contains(*name));
+        untried.cloned().collect()
     }
 
-    fn is_trusted(&self, now: duration::Instant, name: &id::Endpoint) -> bool {
-        self.failed
+    fn is_past_backoff(&self, now: duration::Instant, name: &id::Endpoint) -> bool {
+        self.failed_at
             .get(name)
-            .is_none_or(|at| now.since(*at) >= DISTRUST)
+            .is_none_or(|at| now.since(*at) >= FAILURE_BACKOFF)
     }
 
-    /// The best with a free seat, or else the emptiest.
-    fn best(&mut self, wanted: &Query<'_>, names: &[id::Endpoint]) -> Option<id::Endpoint> {
-        let first = match wanted.model {
+    /// The best endpoint with a free slot, or else the emptiest one.
+    fn choose_best(&mut self, query: &Query<'_>, names: &[id::Endpoint]) -> Option<id::Endpoint> {
+        let fill = match query.model {
             Some(_) => router::Fill::UpTo(1.0),
-            None => ANY_FILL,
+            None => UNLIMITED_FILL,
         };
-        self.draw(wanted, names, first)
-            .or_else(|| self.draw(wanted, names, ANY_FILL))
+        self.choose_with_fill(query, names, fill)
+            .or_else(|| self.choose_with_fill(query, names, UNLIMITED_FILL))
     }
 
-    fn draw(
+    fn choose_with_fill(
         &mut self,
-        wanted: &Query<'_>,
+        query: &Query<'_>,
         names: &[id::Endpoint],
         fill: router::Fill,
     ) -> Option<id::Endpoint> {
-        let none;
-        let model = if let Some(model) = wanted.model {
+        let placeholder;
+        let model = if let Some(model) = query.model {
             model
         } else {
-            // It matters for cached prompts only, which services don't have.
-            none = names.first()?.as_str().parse().ok()?;
-            &none
+            // The model matters only for cached prompts, which services don't have.
+            placeholder = names.first()?.as_str().parse().ok()?;
+            &placeholder
         };
-        let question = router::Question {
+        let request = router::Question {
             model,
             prompt: &[],
-            left: LEFT,
+            left: ASSUMED_TIME_LEFT,
             preferred: &[],
             fill,
             spill: 0.0,
         };
         let residency = router::Residency::Resident(names);
-        match self.router.choose(&mut self.rng, &question, &residency) {
+        match self.router.choose(&mut self.rng, &request, &residency) {
             router::Choice::Dispatch(name) => Some(name),
             router::Choice::Wait | router::Choice::Refuse { .. } => None,
         }
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.by_model.clear();
         self.by_service.clear();
-        let ready = self.endpoints.iter().filter(|(_, known)| is_ready(known));
-        for (name, known) in ready {
-            for resident in &known.announcement.resident {
+        let ready = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| is_ready(endpoint));
+        for (name, endpoint) in ready {
+            for resident in &endpoint.announcement.resident {
                 self.by_model
                     .entry(resident.model.clone())
                     .or_default()
                     .push(name.clone());
             }
-            if let Some(service) = &known.announcement.service {
+            if let Some(service) = &endpoint.announcement.service {
                 self.by_service
                     .entry(service.clone())
                     .or_default()
@@ -145,62 +147,71 @@
     }
 }
 
-fn is_ready(known: &wire_view::Endpoint) -> bool {
-    known.health == wire_view::Health::Ready && known.announcement.phase == endpoint::Phase::Ready
+fn is_ready(endpoint: &wire_view::Endpoint) -> bool {
+    endpoint.health == wire_view::Health::Ready
+        && endpoint.announcement.phase == endpoint::Phase::Ready
 }
 
 impl super::Router for Router {
-    fn choose(&self, now: duration::Instant, wanted: &Query<'_>) -> Option<Destination> {
+    fn choose(&self, now: duration::Instant, query: &Query<'_>) -> Option<Destination> {
         let mut inner = self.inner.lock();
-        let candidates = inner.candidates(wanted).into_iter();
-        let (trusted, doubted): (Vec<_>, Vec<_>) =
-            candidates.partition(|name| inner.is_trusted(now, name));
-        let names = if trusted.is_empty() { doubted } else { trusted };
-        let best = inner.best(wanted, &names)?;
-        inner.router.sent(now, &best);
-        inner.used.insert(best.clone(), now);
-        let announcement = &inner.endpoints.get(&best)?.announcement;
+        let candidates = inner.candidates(query).into_iter();
+        let (usable, backing_off): (Vec<_>, Vec<_>) =
+            candidates.partition(|name| inner.is_past_backoff(now, name));
+        let names = if usable.is_empty() {
+            backing_off
+        } else {
+            usable
+        };
+        let chosen = inner.choose_best(query, &names)?;
+        inner.router.sent(now, &chosen);
+        inner.last_used_at.insert(chosen.clone(), now);
+        let announcement = &inner.endpoints.get(&chosen)?.announcement;
         Some(Destination {
-            endpoint: best,
+            endpoint: chosen,
             address: announcement.address,
             boot: announcement.boot,
         })
     }
 
-    fn record_ended(&self, now: duration::Instant, choice: &Destination, failed: bool) {
+    fn record_ended(&self, now: duration::Instant, destination: &Destination, failed: bool) {
         let mut inner = self.inner.lock();
-        if !inner.endpoints.contains_key(&choice.endpoint) {
+        if !inner.endpoints.contains_key(&destination.endpoint) {
             return;
         }
-        inner.router.ended(now, &choice.endpoint);
+        inner.router.ended(now, &destination.endpoint);
         if failed {
-            inner.failed.insert(choice.endpoint.clone(), now);
+            inner.failed_at.insert(destination.endpoint.clone(), now);
         }
     }
 
     fn apply_view(&self, view: &view::Snapshot) {
         let mut inner = self.inner.lock();
-        let known = view.endpoints();
-        // Most revisions change something else; nothing is indexed anew for them.
-        if Arc::ptr_eq(known, &inner.endpoints) {
+        let endpoints = view.endpoints();
+        // Most revisions change something else; they need no new index.
+        if Arc::ptr_eq(endpoints, &inner.endpoints) {
             return;
         }
-        inner.router.retain(|name| known.contains_key(name));
-        inner.failed.retain(|name, _| known.contains_key(name));
-        inner.used.retain(|name, _| known.contains_key(name));
-        // A leave that arrived here holds until the endpoint comes back with a new
-        // boot; the log may still show it as ready for a moment.
-        let before = std::mem::take(&mut inner.endpoints);
-        inner.left.retain(|name| {
-            let boot = |known: &wire_view::Endpoint| known.announcement.boot;
-            let was = before.get(name).map(boot);
-            known
+        inner.router.retain(|name| endpoints.contains_key(name));
+        inner
+            .failed_at
+            .retain(|name, _| endpoints.contains_key(name));
+        inner
+            .last_used_at
+            .retain(|name, _| endpoints.contains_key(name));
+        // A leave announced here holds until the endpoint comes back with a new boot; the
+        // log may still show the endpoint as ready for a moment.
+        let previous = std::mem::take(&mut inner.endpoints);
+        inner.leaving.retain(|name| {
+            let boot = |endpoint: &wire_view::Endpoint| endpoint.announcement.boot;
+            let previous_boot = previous.get(name).map(boot);
+            endpoints
                 .get(name)
                 .map(boot)
-                .is_some_and(|boot| Some(boot) == was)
+                .is_some_and(|boot| Some(boot) == previous_boot)
         });
-        inner.endpoints = Arc::clone(known);
-        inner.index();
+        inner.endpoints = Arc::clone(endpoints);
+        inner.rebuild_index();
     }
 
     fn apply_report(&self, now: duration::Instant, report: &endpoint::Report) {
@@ -211,7 +222,7 @@
     }
 
     fn mark_leaving(&self, endpoint: &id::Endpoint) {
-        self.inner.lock().left.insert(endpoint.clone());
+        self.inner.lock().leaving.insert(endpoint.clone());
     }
 
     fn ready_runner_count(&self, model: &id::Model) -> usize {
@@ -220,30 +231,36 @@
 
     fn runners(&self, now: duration::Instant) -> Vec<Runner> {
         let inner = self.inner.lock();
-        let runners = inner.endpoints.iter().filter(|(_, known)| is_runner(known));
-        let told = runners.map(|(name, known)| Runner {
+        let runners = inner
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| is_runner(endpoint));
+        let listed = runners.map(|(name, endpoint)| Runner {
             endpoint: name.clone(),
-            address: known.announcement.address,
-            recently_used: inner.used.get(name).is_some_and(|at| now.since(*at) < USE),
+            address: endpoint.announcement.address,
+            recently_used: inner
+                .last_used_at
+                .get(name)
+                .is_some_and(|at| now.since(*at) < RECENT_USE),
         });
-        told.collect()
+        listed.collect()
     }
 
     fn dump(&self) -> serde_json::Value {
         let inner = self.inner.lock();
-        let shown = inner.endpoints.iter().map(|(name, known)| {
+        let states = inner.endpoints.iter().map(|(name, endpoint)| {
             let load = inner.router.known(name).map(|peer| &peer.load);
             let state = serde_json::json!({
-                "ready": is_ready(known) && !inner.left.contains(name),
+                "ready": is_ready(endpoint) && !inner.leaving.contains(name),
                 "in_flight": load.map(load::Load::own),
                 "requests": load.map(load::Load::requests),
             });
             (name.to_string(), state)
         });
-        shown.collect::<serde_json::Map<_, _>>().into()
+        states.collect::<serde_json::Map<_, _>>().into()
     }
 }
 
-fn is_runner(known: &wire_view::Endpoint) -> bool {
-    known.announcement.kind == endpoint::Kind::Runner
+fn is_runner(endpoint: &wire_view::Endpoint) -> bool {
+    endpoint.announcement.kind == endpoint::Kind::Runner
 }
