--- a/crates/cranberrygap-entry/src/caller/generate.rs
+++ b/crates/cranberrygap-entry/src/caller/generate.rs
@@ -192,7 +192,7 @@
     loop {
         let answer = delivery.send(0).await?;
         let mut sent = answer.attempt;
-        let evidence = match answer.response.bytes().await {
+        let evidence = match answer.http.bytes().await {
             Ok(bytes) => match serde_json::from_slice::<serde_json::Value>(&bytes) {
                 Ok(parsed) => {
                     sent.record_complete();
--- a/crates/cranberrygap-entry/src/engine/delivery.rs
+++ b/crates/cranberrygap-entry/src/engine/delivery.rs
@@ -1,4 +1,4 @@
-//! All dispatches of one request, with what is known of them together.
+//! The delivery of one request: all its attempts and their combined outcome.
 
 use std::sync::Arc;
 
@@ -13,39 +13,39 @@
 use crate::route;
 
 use super::{
-    ATTEMPT_ID_HEADER, Attempt, FIRST_BYTE_TIMEOUT, REQUEST_ID_HEADER, Request, Response, leave,
-    sent,
+    ATTEMPT_ID_HEADER, Attempt, FIRST_BYTE_TIMEOUT, REQUEST_ID_HEADER, Request, Response, attempt,
+    permission,
 };
 
-/// Wait before callers may try again when no engine holds the model.
-const NO_ENGINE_WAIT: duration::Span = duration::Span::from_secs(1);
+/// Retry delay that callers are given when no engine holds the model.
+const NO_ENGINE_RETRY_AFTER: duration::Span = duration::Span::from_secs(1);
 
-/// Wait until another look for an engine on which no other suspect runs.
-const SUSPECT_WAIT: duration::Span = duration::Span::from_millis(50);
+/// Time between two searches for an engine on which no other suspect runs.
+const SUSPECT_POLL_INTERVAL: duration::Span = duration::Span::from_millis(50);
 
-/// Crashed engines after which a request is not sent again. The second crash
-/// names the culprit; a third engine must not be lost to it.
-const MOST_CRASHES: u32 = 2;
+/// Crashed engines after which a request is not sent again. The second crash identifies
+/// the culprit; a third engine must not be lost to it.
+const MAX_CRASHES: u32 = 2;
 
-/// The dispatches of one request.
+/// All attempts of one request.
 #[derive(Debug)]
 pub(crate) struct Delivery {
     core: Arc<core::Core>,
-    call: Arc<Request>,
+    request: Arc<Request>,
     tried: route::Tried,
     attempts: u32,
     crashes: u32,
     outcome: Outcome,
-    /// Free for the next request when this one ends.
-    _place: Option<queue::Place>,
+    /// Place in the queue; dropping it lets the next request in.
+    _queue_place: Option<queue::Place>,
 }
 
 impl Delivery {
-    /// Nothing was sent yet.
+    /// A delivery without any attempt yet.
     pub(crate) fn new(
         core: &Arc<core::Core>,
-        call: &Arc<Request>,
-        place: Option<queue::Place>,
+        request: &Arc<Request>,
+        queue_place: Option<queue::Place>,
     ) -> Self {
         let mut budget = core.retries.lock();
         if let Some(view) = core.view.latest() {
@@ -55,32 +55,33 @@
         drop(budget);
         Self {
             core: Arc::clone(core),
-            call: Arc::clone(call),
+            request: Arc::clone(request),
             tried: route::Tried::new(),
             attempts: 0,
             crashes: 0,
             outcome: Outcome::NotRun,
-            _place: place,
+            _queue_place: queue_place,
         }
     }
 
     /// The request.
     pub(crate) fn request(&self) -> &Arc<Request> {
-        &self.call
+        &self.request
     }
 
-    /// Whether it is proven that no engine ran it.
+    /// Whether it is proven that no engine ran the request.
     pub(crate) fn is_not_run(&self) -> bool {
         self.outcome == Outcome::NotRun
     }
 
     /// Time until the request must be answered.
     pub(crate) fn remaining(&self) -> duration::Span {
-        self.call.deadline.since(self.core.now())
+        self.request.deadline.since(self.core.now())
     }
 
-    /// Sends the request until an engine begins to answer behind the first
-    /// `delivered` tokens.
+    /// Sends the request until an engine responds.
+    ///
+    /// The engine continues after the first `delivered` tokens.
     ///
     /// # Errors
     ///
@@ -88,18 +89,23 @@
     pub(crate) async fn send(&mut self, delivered: u64) -> Result<Response, Refusal> {
         loop {
             self.check_quarantine()?;
-            let (choice, started) = self.choose().await?;
+            let (destination, registration) = self.choose_engine().await?;
             self.attempts += 1;
-            let sent = Attempt::new(&self.core, choice, &self.call, self.attempts, started);
-            match self.attempt(sent, delivered).await {
+            let attempt = Attempt::new(
+                &self.core,
+                destination,
+                &self.request,
+                self.attempts,
+                registration,
+            );
+            match self.send_attempt(attempt, delivered).await {
                 Ok(answer) => return Ok(answer),
-                Err((evidence, sent)) => self.handle_failure(evidence, sent).await?,
+                Err((evidence, attempt)) => self.handle_failure(evidence, attempt).await?,
             }
         }
     }
 
-    /// Takes note of a dispatch that was not answered; returns when the request
-    /// may be sent again.
+    /// Records a failed attempt; returns once the request may be sent again.
     ///
     /// # Errors
     ///
@@ -107,10 +113,10 @@
     pub(crate) async fn handle_failure(
         &mut self,
         evidence: Evidence,
-        mut sent: Attempt,
+        mut attempt: Attempt,
     ) -> Result<(), Refusal> {
-        self.crashes += u32::from(sent.record_failure(evidence).await);
-        drop(sent);
+        self.crashes += u32::from(attempt.record_failure(evidence).await);
+        drop(attempt);
         let outcome = Outcome::of(evidence);
         self.outcome = if self.attempts <= 1 {
             outcome
@@ -118,21 +124,21 @@
             self.outcome.and_then(outcome)
         };
         self.check_quarantine()?;
-        if self.crashes >= MOST_CRASHES {
+        if self.crashes >= MAX_CRASHES {
             return Err(Refusal::EndpointFailed);
         }
-        let attempt = retry::Attempt {
+        let retry_attempt = retry::Attempt {
             class: retry::Class::Idempotent,
             number: self.attempts,
             outcome: self.outcome,
-            deadline: self.call.deadline,
+            deadline: self.request.deadline,
         };
         let now = self.core.now();
         let decision = self
             .core
             .retries
             .lock()
-            .decide(now, attempt, &mut rand::rng());
+            .decide(now, retry_attempt, &mut rand::rng());
         match decision {
             retry::Decision::Again(wait) => {
                 tokio::time::sleep(wait.to_std()).await;
@@ -145,7 +151,7 @@
     fn refusal(&self, reason: retry::Reason) -> Refusal {
         if self.is_not_run() {
             return Refusal::NoEndpoint {
-                retry_after: NO_ENGINE_WAIT,
+                retry_after: NO_ENGINE_RETRY_AFTER,
             };
         }
         match reason {
@@ -158,130 +164,136 @@
         let Some(view) = self.core.view.latest() else {
             return Ok(());
         };
-        core::Core::check_quarantine(&view, &self.call.fingerprint)
+        core::Core::check_quarantine(&view, &self.request.fingerprint)
     }
 
-    /// An engine to send to, with the note that the request runs there; a suspect
-    /// waits for one without another suspect.
-    async fn choose(&mut self) -> Result<(route::Destination, sent::Started), Refusal> {
+    /// Chooses an engine and registers the request there.
+    ///
+    /// A suspect waits for an engine without another suspect.
+    async fn choose_engine(
+        &mut self,
+    ) -> Result<(route::Destination, attempt::Registration), Refusal> {
         loop {
-            let choice = self.choose_once()?;
-            if let Some(started) = self.start(&choice).await {
-                return Ok((choice, started));
+            let destination = self.choose_untried()?;
+            if let Some(registration) = self.register(&destination).await {
+                return Ok((destination, registration));
             }
             let now = self.core.now();
-            self.core.router.record_ended(now, &choice, false);
-            if self.remaining() <= SUSPECT_WAIT {
+            self.core.router.record_ended(now, &destination, false);
+            if self.remaining() <= SUSPECT_POLL_INTERVAL {
                 return Err(self.refusal(retry::Reason::Deadline));
             }
-            if self.all_tried() {
-                tokio::time::sleep(SUSPECT_WAIT.to_std()).await;
+            if self.is_every_engine_tried() {
+                tokio::time::sleep(SUSPECT_POLL_INTERVAL.to_std()).await;
             }
         }
     }
 
-    /// Notes that the request runs there, if it may.
-    async fn start(&self, choice: &route::Destination) -> Option<sent::Started> {
-        let place = sent::place(choice);
+    /// Registers the request as running at the engine, if it is allowed to.
+    async fn register(&self, destination: &route::Destination) -> Option<attempt::Registration> {
+        let incarnation = attempt::incarnation(destination);
         let now = self.core.now();
-        let fingerprint = &self.call.fingerprint;
-        let (running, is_suspect) = {
+        let fingerprint = &self.request.fingerprint;
+        let (id, is_suspect) = {
             let mut watch = self.core.watch.lock();
-            let started = watch.start(now, &place, fingerprint);
-            (started.ok()?, watch.is_suspect(now, fingerprint))
+            let registered = watch.start(now, &incarnation, fingerprint);
+            (registered.ok()?, watch.is_suspect(now, fingerprint))
         };
         if !is_suspect {
-            let leave = None;
-            return Some(sent::Started { running, leave });
+            let permission = None;
+            return Some(attempt::Registration { id, permission });
         }
-        let leave = leave::Leave::ask(&self.core, &place, fingerprint).await;
-        if leave.is_none() {
-            self.core.watch.lock().ended(&place, running, false);
+        let permission =
+            permission::Permission::acquire(&self.core, &incarnation, fingerprint).await;
+        if permission.is_none() {
+            self.core.watch.lock().ended(&incarnation, id, false);
             return None;
         }
-        Some(sent::Started { running, leave })
+        Some(attempt::Registration { id, permission })
     }
 
-    /// Whether no engine is left that was not looked at.
-    fn all_tried(&self) -> bool {
-        let Some(choice) = self.ask_router() else {
+    /// Whether every engine was looked at.
+    fn is_every_engine_tried(&self) -> bool {
+        let Some(destination) = self.ask_router() else {
             return true;
         };
         self.core
             .router
-            .record_ended(self.core.now(), &choice, false);
+            .record_ended(self.core.now(), &destination, false);
         false
     }
 
-    fn choose_once(&mut self) -> Result<route::Destination, Refusal> {
-        if let Some(choice) = self.ask_router() {
-            self.tried.push(choice.endpoint.clone());
-            return Ok(choice);
+    fn choose_untried(&mut self) -> Result<route::Destination, Refusal> {
+        if let Some(destination) = self.ask_router() {
+            self.tried.push(destination.endpoint.clone());
+            return Ok(destination);
         }
-        // Nobody else has the model: the same engine may answer on a new connection.
+        // No other engine holds the model; the same one may answer on a new connection.
         self.tried.clear();
-        let choice = self.ask_router();
-        choice.ok_or_else(|| self.refusal(retry::Reason::Attempts))
+        let destination = self.ask_router();
+        destination.ok_or_else(|| self.refusal(retry::Reason::Attempts))
     }
 
     fn ask_router(&self) -> Option<route::Destination> {
-        let wanted = route::Query {
-            model: Some(&self.call.body.model),
+        let query = route::Query {
+            model: Some(&self.request.body.model),
             service: None,
             tried: &self.tried,
         };
-        self.core.router.choose(self.core.now(), &wanted)
+        self.core.router.choose(self.core.now(), &query)
     }
 
-    async fn attempt(
+    async fn send_attempt(
         &self,
-        sent: Attempt,
+        attempt: Attempt,
         delivered: u64,
     ) -> Result<Response, (Evidence, Attempt)> {
-        let Ok(attempt) = format!("{:032x}", rand::random::<u128>()).parse::<id::Attempt>() else {
-            return Err((Evidence::NeverDispatched, sent));
+        let Ok(attempt_id) = format!("{:032x}", rand::random::<u128>()).parse::<id::Attempt>()
+        else {
+            return Err((Evidence::NeverDispatched, attempt));
         };
-        // After a failure the pooled connections may be dead as well.
+        // After a failure, the pooled connections may be dead as well.
         let client = if self.attempts > 1 {
             self.core.upstream.fresh()
         } else {
             self.core.upstream.pooled()
         };
-        let sending = client
-            .post(format!("http://{}{}", sent.address(), self.call.path))
+        let call = client
+            .post(format!("http://{}{}", attempt.address(), self.request.path))
             .header(header::CONTENT_TYPE, "application/json")
-            .header(ATTEMPT_ID_HEADER, attempt.as_str())
-            .header(REQUEST_ID_HEADER, self.call.id.as_str())
+            .header(ATTEMPT_ID_HEADER, attempt_id.as_str())
+            .header(REQUEST_ID_HEADER, self.request.id.as_str())
             .timeout(self.remaining().to_std())
-            .body(self.call.body.resumed(delivered))
+            .body(self.request.body.resumed(delivered))
             .send();
-        let limit = if self.call.body.stream {
+        let timeout = if self.request.body.stream {
             FIRST_BYTE_TIMEOUT.min(self.remaining())
         } else {
             self.remaining()
         };
-        let response = match tokio::time::timeout(limit.to_std(), sending).await {
-            Err(_elapsed) => return Err((Evidence::Silence, sent)),
-            Ok(Err(cause)) => return Err((evidence_of(&cause), sent)),
+        let response = match tokio::time::timeout(timeout.to_std(), call).await {
+            Err(_elapsed) => return Err((Evidence::Silence, attempt)),
+            Ok(Err(cause)) => return Err((evidence_of(&cause), attempt)),
             Ok(Ok(response)) => response,
         };
         let echoed = response.headers().get(ATTEMPT_ID_HEADER);
-        let is_own = echoed.is_none_or(|echoed| echoed.as_bytes() == attempt.as_str().as_bytes());
+        let is_own =
+            echoed.is_none_or(|echoed| echoed.as_bytes() == attempt_id.as_str().as_bytes());
         if !is_own {
-            return Err((Evidence::CrossedAnswer, sent));
+            return Err((Evidence::CrossedAnswer, attempt));
         }
-        if let Some(refused) = refused(response.status()) {
-            return Err((refused, sent));
+        if let Some(evidence) = evidence_of_status(response.status()) {
+            return Err((evidence, attempt));
         }
         Ok(Response {
-            response,
-            attempt_id: attempt,
-            attempt: sent,
+            http: response,
+            attempt_id,
+            attempt,
         })
     }
 }
 
-/// What an error of the client proves.
+/// What an error of the HTTP client proves.
 pub(crate) fn evidence_of(cause: &reqwest::Error) -> Evidence {
     if cause.is_connect() {
         return Evidence::ConnectFailed;
@@ -293,10 +305,10 @@
 }
 
 /// What a status other than success proves.
-fn refused(status: StatusCode) -> Option<Evidence> {
+fn evidence_of_status(status: StatusCode) -> Option<Evidence> {
     match status {
         StatusCode::OK => None,
-        // The engine's own word that it did not run the request.
+        // With these statuses, the engine itself says that it did not run the request.
         StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             Some(Evidence::EndpointRefused)
         }
--- a/crates/cranberrygap-entry/src/relay.rs
+++ b/crates/cranberrygap-entry/src/relay.rs
@@ -49,7 +49,7 @@
         Self {
             delivery,
             progress: policy::Stream::new(answer.attempt_id, limit),
-            upstream: Box::pin(answer.response.bytes_stream()),
+            upstream: Box::pin(answer.http.bytes_stream()),
             sent: Some(answer.attempt),
             splitter: sse::Splitter::default(),
             permit,
@@ -188,7 +188,7 @@
             Err(refusal) => Some(self.broken(&refusal)),
             Ok(answer) => {
                 self.progress.resume(answer.attempt_id);
-                self.upstream = Box::pin(answer.response.bytes_stream());
+                self.upstream = Box::pin(answer.http.bytes_stream());
                 self.sent = Some(answer.attempt);
                 self.splitter = sse::Splitter::default();
                 self.opening = true;
