--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -92,11 +92,11 @@
     pub(crate) fn record_complete(&mut self) {
         let incarnation = incarnation(&self.destination);
         let fingerprint = self.fingerprint.clone();
-        let cleared = self
-            .core
-            .watch
-            .lock()
-            .finish_request(&incarnation, self.registration_id, true);
+        let cleared =
+            self.core
+                .watch
+                .lock()
+                .finish_request(&incarnation, self.registration_id, true);
         if cleared {
             let message = claim::Crash {
                 cleared: vec![fingerprint],
@@ -131,7 +131,11 @@
         if !self.core.watch.lock().is_dead(&incarnation) && !self.is_dead().await {
             return false;
         }
-        let crash = self.core.watch.lock().record_death(self.core.now(), &incarnation);
+        let crash = self
+            .core
+            .watch
+            .lock()
+            .record_death(self.core.now(), &incarnation);
         if let Some(crash) = crash {
             warn!(
                 "quarantine: {} died with {} requests of this entry",
--- a/crates/cranberrygap-entry/src/engine/permission.rs
+++ b/crates/cranberrygap-entry/src/engine/permission.rs
@@ -71,12 +71,18 @@
 }
 
 /// Asks the leader once; the lease runs from the time of sending.
-async fn renew(core: &core::Core, incarnation: &suspects::Incarnation, fingerprint: &SmolStr) -> bool {
+async fn renew(
+    core: &core::Core,
+    incarnation: &suspects::Incarnation,
+    fingerprint: &SmolStr,
+) -> bool {
     let sent_at = core.now();
     let is_granted = call(core, &message(core, incarnation, fingerprint, false)).await;
     if is_granted {
         let until = sent_at.after(permission::LEASE_DURATION);
-        core.watch.lock().hold_permission(incarnation, fingerprint, until);
+        core.watch
+            .lock()
+            .hold_permission(incarnation, fingerprint, until);
     }
     is_granted
 }
