--- a/crates/cranberrygap-entry/src/core.rs
+++ b/crates/cranberrygap-entry/src/core.rs
@@ -6,7 +6,7 @@
 use cadence::{Counted as _, StatsdClient, Timed as _};
 use cranberrygap_link::clock;
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_policy::quarantine::watch;
+use cranberrygap_policy::quarantine::suspects;
 use cranberrygap_policy::retry;
 use cranberrygap_wire::settings;
 use parking_lot::Mutex;
@@ -37,14 +37,14 @@
     pub(crate) lending: Option<address::Socket>,
     pub(crate) router: Arc<dyn route::Router>,
     /// Endpoints of the traffic plan's services.
-    pub(crate) endpoints: gateway::Table,
+    pub(crate) endpoints: gateway::Endpoints,
     pub(crate) upstream: upstream::Clients,
     /// Requests that wait for a place at the engines.
     pub(crate) queues: Arc<queue::Queues>,
     /// Retries that may still be made.
     pub(crate) retries: Mutex<retry::Budget>,
     /// What runs on which endpoint, and who is suspected to crash them.
-    pub(crate) watch: Mutex<watch::Watch>,
+    pub(crate) watch: Mutex<suspects::Tracker>,
     pub(crate) announcements: announce::Inbox,
     pub(crate) demand: control::Demand,
     pub(crate) metrics: Arc<StatsdClient>,
