--- a/crates/cranberrygap-placement/src/residency/diagnostics.rs
+++ b/crates/cranberrygap-placement/src/residency/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What the book takes a runner's room to be, and who said so last, for people.
+//! Assumed use of a runner and differing observations, for operators.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,62 +8,62 @@
 use super::engine;
 use super::runner;
 
-/// Who spoke of a runner's models last.
+/// Source of an observation of a runner's models.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The announcement of this number.
+    /// The announcement with this sequence number.
     Announcement(number::Sequence),
-    /// A report by which the runner had accepted so many orders.
+    /// A report with this number of accepted orders.
     Report(u64),
     /// The answer to the order that named this count.
     Answer(u64),
 }
 
-/// The last word on a runner's models.
+/// The last observation of a runner's models.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
-    /// Whose it was.
+    /// Where it came from.
     pub source: Source,
-    /// When it came.
+    /// When it arrived.
     pub at: duration::Instant,
 }
 
-/// A runner's room as the book counts it.
+/// Memory and slots of a runner that the planner counts as used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Usage {
     /// Models that take memory.
     pub models: BTreeSet<id::Model>,
-    /// Adapters that take a place.
+    /// Number of adapters that take a slot.
     pub adapters: usize,
-    /// Places for adapters.
+    /// Number of adapter slots.
     pub slots: usize,
-    /// Memory that is taken.
-    pub taken: size::Bytes,
-    /// Memory that there is.
+    /// Memory that is used.
+    pub used: size::Bytes,
+    /// Total memory.
     pub memory: size::Bytes,
-    /// The last word on it.
-    pub word: Observation,
-    /// Time since then.
+    /// The last observation of the models.
+    pub observation: Observation,
+    /// Time since the observation.
     pub age: duration::Span,
 }
 
-/// A word on a runner's models that differs from what the book had.
+/// An observation of a runner's models that differs from the inventory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
     /// The runner.
     pub endpoint: id::Endpoint,
-    /// The word before.
-    pub before: Observation,
-    /// The word that differs.
-    pub word: Observation,
-    /// Models that only the book had.
+    /// The observation before.
+    pub previous: Observation,
+    /// The observation that differs.
+    pub observation: Observation,
+    /// Models that only the inventory has.
     pub missing: BTreeSet<id::Model>,
-    /// Models that only the new word has.
+    /// Models that only the new observation has.
     pub unexpected: BTreeSet<id::Model>,
 }
 
 impl Usage {
-    /// The room of a runner at `now`.
+    /// The use of a runner at `now`.
     #[must_use]
     pub fn new(now: duration::Instant, engine: &engine::Engine, runner: &runner::Runner) -> Self {
         let adapters = runner.inventory.adapters().keys().map(|(model, _)| model);
@@ -71,36 +71,43 @@
             models: runner.inventory.models().clone(),
             adapters: runner.inventory.adapters().len(),
             slots: engine.adapter_slots,
-            taken: size::Bytes(engine.taken(runner.inventory.models().iter(), adapters)),
+            used: size::Bytes(engine.memory_used(runner.inventory.models().iter(), adapters)),
             memory: engine.memory,
-            word: runner.inventory.word(),
-            age: now.since(runner.inventory.word().at),
+            observation: runner.inventory.observation(),
+            age: now.since(runner.inventory.observation().at),
         }
     }
 }
 
 impl Difference {
-    /// How `models` differ from what the book has, apart from one that comes or goes by an
-    /// order.
+    /// How `models` differ from the inventory, apart from the model of an open order.
     #[must_use]
     pub fn find(
         endpoint: &id::Endpoint,
         runner: &runner::Runner,
         models: &BTreeSet<id::Model>,
-        word: Observation,
+        observation: Observation,
     ) -> Option<Self> {
         let known = runner.inventory.models();
-        let under_way = runner.under_way();
-        let stays = |model: &&id::Model| Some(*model) != under_way;
-        let fewer: BTreeSet<_> = known.difference(models).filter(stays).cloned().collect();
-        let more: BTreeSet<_> = models.difference(known).filter(stays).cloned().collect();
-        let differs = !fewer.is_empty() || !more.is_empty();
-        differs.then(|| Self {
+        let in_progress = runner.model_in_progress();
+        let is_settled = |model: &&id::Model| Some(*model) != in_progress;
+        let missing: BTreeSet<_> = known
+            .difference(models)
+            .filter(is_settled)
+            .cloned()
+            .collect();
+        let unexpected: BTreeSet<_> = models
+            .difference(known)
+            .filter(is_settled)
+            .cloned()
+            .collect();
+        let is_different = !missing.is_empty() || !unexpected.is_empty();
+        is_different.then(|| Self {
             endpoint: endpoint.clone(),
-            before: runner.inventory.word(),
-            word,
-            missing: fewer,
-            unexpected: more,
+            previous: runner.inventory.observation(),
+            observation,
+            missing,
+            unexpected,
         })
     }
 }
@@ -118,25 +125,29 @@
 impl fmt::Display for Usage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let age = self.age.as_secs_f64();
-        write!(f, "taken={} of {} models=", self.taken, self.memory)?;
-        list(f, &self.models)?;
+        write!(f, "taken={} of {} models=", self.used, self.memory)?;
+        write_models(f, &self.models)?;
         write!(f, " adapters={} of {}", self.adapters, self.slots)?;
-        write!(f, " word={} age={age:.2} s", self.word.source)
+        write!(f, " word={} age={age:.2} s", self.observation.source)
     }
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let later = self.word.at.since(self.before.at).as_secs_f64();
-        write!(f, "{} says {} ", self.endpoint, self.word.source)?;
-        write!(f, "{later:.2} s after {}: fewer=", self.before.source)?;
-        list(f, &self.missing)?;
+        let seconds_later = self.observation.at.since(self.previous.at).as_secs_f64();
+        write!(f, "{} says {} ", self.endpoint, self.observation.source)?;
+        write!(
+            f,
+            "{seconds_later:.2} s after {}: fewer=",
+            self.previous.source
+        )?;
+        write_models(f, &self.missing)?;
         write!(f, " more=")?;
-        list(f, &self.unexpected)
+        write_models(f, &self.unexpected)
     }
 }
 
-fn list(f: &mut fmt::Formatter<'_>, models: &BTreeSet<id::Model>) -> fmt::Result {
+fn write_models(f: &mut fmt::Formatter<'_>, models: &BTreeSet<id::Model>) -> fmt::Result {
     let names: Vec<&str> = models.iter().map(id::Model::as_str).collect();
     write!(f, "[{}]", names.join(","))
 }
--- a/crates/cranberrygap-placement/src/residency/engine.rs
+++ b/crates/cranberrygap-placement/src/residency/engine.rs
@@ -1,4 +1,4 @@
-//! What runners of a service can hold, and the models that there are.
+//! Capacity of a service's runners, and the models of the service.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 use super::inventory;
 use super::order;
 
-/// Room and models of one service's runners.
+/// Capacity and models of one service's runners.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Memory for weights and adapters of one runner.
+    /// Memory of one runner for weights and adapters.
     pub memory: size::Bytes,
-    /// Adapters of one runner.
+    /// Number of adapter slots of one runner.
     pub adapter_slots: usize,
-    /// Loads a second from the weight store over all runners.
+    /// Loads per second from the weight store over all runners.
     pub store_rate: f64,
     /// The models by name.
     pub models: BTreeMap<id::Model, Weights>,
-    /// Models that have left the plan; a runner may hold one still.
+    /// Models that have left the plan; a runner may still hold one.
     pub former_models: BTreeMap<id::Model, Weights>,
 }
 
-/// One model.
+/// Sizes and load times of one model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Weights {
-    /// Memory that it takes.
+    /// Memory that the model takes.
     pub size: size::Bytes,
     /// Memory that one of its adapters takes.
     pub adapter_size: size::Bytes,
@@ -39,7 +39,7 @@
 }
 
 impl Engine {
-    /// Reads it from the traffic plan.
+    /// Creates the engine from the traffic plan.
     #[must_use]
     pub fn new(engine: &traffic::Engine) -> Self {
         let models = engine.models.iter().map(|model| {
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Takes over what runners may hold by an earlier plan.
+    /// Keeps the models of an earlier plan that runners may still hold.
     ///
-    /// A model takes the room that it had when it was loaded. It counts by the largest size
-    /// that it ever had.
+    /// A model takes the memory that it had when it was loaded, so it counts with the
+    /// largest size that it ever had.
     #[must_use]
-    pub fn following(mut self, before: &Self) -> Self {
-        for (model, old) in before.former_models.iter().chain(&before.models) {
+    pub fn keep_models_of(mut self, earlier: &Self) -> Self {
+        for (model, old) in earlier.former_models.iter().chain(&earlier.models) {
             match self.models.get_mut(model) {
                 Some(weights) => {
                     weights.size = weights.size.max(old.size);
@@ -81,12 +81,12 @@
         self
     }
 
-    /// Loads from the store that run at full speed together.
+    /// Number of loads from the store that run concurrently at full speed.
     ///
-    /// A store that lets so many begin in a second, each of which takes so long, has
-    /// their product under way when it is full; with more, each takes longer.
+    /// The product of the loads that may start per second and the time of each is the
+    /// number under way when the store is full; with more, each takes longer.
     #[must_use]
-    pub fn loads_at_once(&self) -> usize {
+    pub fn concurrent_loads(&self) -> usize {
         let loads = self
             .models
             .values()
@@ -101,55 +101,56 @@
         under_way
     }
 
-    /// Whether a runner has room for what an order loads.
+    /// Whether a runner has capacity for what an order loads.
     #[must_use]
-    pub fn fits(&self, room: &inventory::Inventory, action: &order::Action) -> bool {
-        let models = room.models().iter();
-        let adapters = room.adapters().keys().map(|(model, _)| model);
+    pub fn fits(&self, inventory: &inventory::Inventory, action: &order::Action) -> bool {
+        let models = inventory.models().iter();
+        let adapters = inventory.adapters().keys().map(|(model, _)| model);
         match action {
             order::Action::Load(model) => {
-                let planned = self.models.contains_key(model) && !room.models().contains(model);
+                let loadable =
+                    self.models.contains_key(model) && !inventory.models().contains(model);
                 let models = models.chain(std::iter::once(model));
-                planned && self.taken(models, adapters) <= self.memory.0
+                loadable && self.memory_used(models, adapters) <= self.memory.0
             }
             order::Action::LoadAdapter(model, _) => {
                 let adapters = adapters.chain(std::iter::once(model));
-                let place = room.adapters().len() < self.adapter_slots;
-                place && self.taken(models, adapters) <= self.memory.0
+                let has_slot = inventory.adapters().len() < self.adapter_slots;
+                has_slot && self.memory_used(models, adapters) <= self.memory.0
             }
             order::Action::Unload(_) | order::Action::UnloadAdapter(..) => true,
         }
     }
 
-    /// Memory that a set of models and adapters takes; what is not known counts as
-    /// large as anything that is.
+    /// Memory in bytes that models and adapters take; an unknown model counts as the
+    /// largest known one.
     #[must_use]
-    pub fn taken<'held>(
+    pub fn memory_used<'held>(
         &self,
         models: impl Iterator<Item = &'held id::Model>,
         adapters: impl Iterator<Item = &'held id::Model>,
     ) -> u64 {
-        let models = models.map(|model| self.size(model)).sum::<u64>();
+        let models = models.map(|model| self.model_size(model)).sum::<u64>();
         models + adapters.map(|model| self.adapter_size(model)).sum::<u64>()
     }
 
-    /// Memory that a model takes at most.
+    /// Memory in bytes that a model takes at most.
     #[must_use]
-    pub fn size(&self, model: &id::Model) -> u64 {
-        self.largest(model, |weights| weights.size.0)
+    pub fn model_size(&self, model: &id::Model) -> u64 {
+        self.known_or_largest(model, |weights| weights.size.0)
     }
 
     fn adapter_size(&self, model: &id::Model) -> u64 {
-        self.largest(model, |weights| weights.adapter_size.0)
+        self.known_or_largest(model, |weights| weights.adapter_size.0)
     }
 
-    fn largest(&self, model: &id::Model, size: impl Fn(&Weights) -> u64) -> u64 {
+    fn known_or_largest(&self, model: &id::Model, size: impl Fn(&Weights) -> u64) -> u64 {
         let known = self
             .models
             .get(model)
             .or_else(|| self.former_models.get(model));
         let all = self.models.values().chain(self.former_models.values());
-        let most = || all.map(&size).max().unwrap_or_default();
-        known.map_or_else(most, &size)
+        let largest = || all.map(&size).max().unwrap_or_default();
+        known.map_or_else(largest, &size)
     }
 }
--- a/crates/cranberrygap-placement/src/residency/inventory.rs
+++ b/crates/cranberrygap-placement/src/residency/inventory.rs
@@ -1,13 +1,14 @@
-//! What takes room at a runner, by the number of orders that it has accepted.
+//! What occupies a runner, by the number of orders that the runner has accepted.
 //!
-//! Announcements, reports and answers come late and in any order, and no clock tells which
-//! of two was made later. The count of accepted orders does: a runner takes an order only
-//! if that names its count. So the room that an order is made out for is what the last
-//! report told of, with all that was accepted since; it is exact whenever the runner takes
-//! the order. Only four things free room: a report of an idle runner of this count or a
-//! later one, the end of a drop that was accepted, the answer that an adapter is gone, and
-//! another process. A runner turns down what is ordered while it carries out a model order,
-//! so the end of one may be taken from an announcement: if that is wrong, so is nothing else.
+//! Announcements, reports and answers arrive late and in any order, and no clock tells
+//! which of two was made later. The count of accepted orders does: a runner accepts an
+//! order only if the order names its count. So an order is planned for what the last
+//! report showed plus everything accepted since; that is exact whenever the runner
+//! accepts the order. Only four events free memory or slots: a report of an idle runner
+//! with this count or a later one, the end of an accepted unload, the answer that an
+//! adapter is gone, and a new process. A runner rejects orders while it executes a model
+//! order, so the end of one may be taken from an announcement: if that is wrong, nothing
+//! else is.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,237 +18,243 @@
 use super::order;
 use super::runner;
 
-/// What takes room at one process of a runner.
+/// Models and adapters that occupy one process of a runner.
 #[derive(Debug, Clone)]
 pub struct Inventory {
-    /// Orders that it has accepted, while that is known.
-    count: Option<u64>,
-    /// Orders that it has certainly accepted. What was made before them is old.
-    least: u64,
-    /// Whether a report has told of it.
+    /// Number of orders that the runner has accepted, while known.
+    accepted_count: Option<u64>,
+    /// Number of orders that the runner has certainly accepted; reports with fewer are
+    /// outdated.
+    min_count: u64,
+    /// Whether any report has been applied.
     reported: bool,
     models: BTreeSet<id::Model>,
     /// Adapters with the time of their last use.
     adapters: BTreeMap<runner::Adapter, duration::Instant>,
-    /// Adapters among them that go when their requests have ended.
-    leaving: BTreeSet<runner::Adapter>,
-    /// Adapters among them that somebody did not find.
-    doubted: BTreeSet<runner::Adapter>,
-    word: diagnostics::Observation,
+    /// Resident adapters that are unloaded once their requests have ended.
+    draining: BTreeSet<runner::Adapter>,
+    /// Resident adapters that a runner said it lacks.
+    reported_missing: BTreeSet<runner::Adapter>,
+    observation: diagnostics::Observation,
 }
 
 impl Inventory {
-    /// What an announcement tells. Nothing is ordered by it.
+    /// Creates the inventory that an announcement shows. No order is based on it.
     #[must_use]
-    pub const fn announced(
+    pub const fn from_announcement(
         models: BTreeSet<id::Model>,
         adapters: BTreeMap<runner::Adapter, duration::Instant>,
-        word: diagnostics::Observation,
+        observation: diagnostics::Observation,
     ) -> Self {
         Self {
-            count: None,
-            least: 0,
+            accepted_count: None,
+            min_count: 0,
             reported: false,
             models,
             adapters,
-            leaving: BTreeSet::new(),
-            doubted: BTreeSet::new(),
-            word,
+            draining: BTreeSet::new(),
+            reported_missing: BTreeSet::new(),
+            observation,
         }
     }
 
-    /// Orders that the runner has accepted, while that is known.
+    /// Number of orders that the runner has accepted, while known.
     #[must_use]
-    pub const fn count(&self) -> Option<u64> {
-        self.count
+    pub const fn accepted_count(&self) -> Option<u64> {
+        self.accepted_count
     }
 
-    /// Whether a report has told of it.
+    /// Whether any report has been applied.
     #[must_use]
-    pub const fn is_reported(&self) -> bool {
+    pub const fn has_report(&self) -> bool {
         self.reported
     }
 
-    /// Models that are there.
+    /// Resident models.
     #[must_use]
     pub const fn models(&self) -> &BTreeSet<id::Model> {
         &self.models
     }
 
-    /// Whether an adapter is there and stays for now.
+    /// Whether an adapter is resident and may be offered to requests.
     #[must_use]
     pub fn offers(&self, adapter: &runner::Adapter) -> bool {
         self.adapters.contains_key(adapter) && !self.is_withheld(adapter)
     }
 
-    /// Whether an adapter takes a place and is offered to nobody.
+    /// Whether an adapter takes a slot but is not offered to requests.
     #[must_use]
     pub fn is_withheld(&self, adapter: &runner::Adapter) -> bool {
-        self.leaving.contains(adapter) || self.doubted.contains(adapter)
+        self.draining.contains(adapter) || self.reported_missing.contains(adapter)
     }
 
-    /// Whether a report has to tell of adapters that are offered to nobody.
+    /// Whether a report is needed to learn the state of withheld adapters.
     #[must_use]
-    pub fn is_unsettled(&self) -> bool {
-        !self.leaving.is_empty() || !self.doubted.is_empty()
+    pub fn has_withheld_adapters(&self) -> bool {
+        !self.draining.is_empty() || !self.reported_missing.is_empty()
     }
 
-    /// Adapters that stay for now, with the time of their last use.
+    /// Adapters offered to requests, with the time of their last use.
     pub fn offered_adapters(&self) -> impl Iterator<Item = (&runner::Adapter, &duration::Instant)> {
         let adapters = self.adapters.iter();
         adapters.filter(|(adapter, _)| !self.is_withheld(adapter))
     }
 
-    /// Adapters whose places are taken until a report no longer tells of them.
+    /// Number of adapters whose slots stay taken until a report no longer lists them.
     #[must_use]
-    pub fn leaving(&self) -> usize {
-        self.leaving.len()
+    pub fn draining_count(&self) -> usize {
+        self.draining.len()
     }
 
-    /// Adapters that take a place.
+    /// Adapters that take a slot.
     #[must_use]
     pub const fn adapters(&self) -> &BTreeMap<runner::Adapter, duration::Instant> {
         &self.adapters
     }
 
-    /// Who told of the models last.
+    /// The last observation of the models.
     #[must_use]
-    pub const fn word(&self) -> diagnostics::Observation {
-        self.word
+    pub const fn observation(&self) -> diagnostics::Observation {
+        self.observation
     }
 
-    /// Takes another announcement, as long as nothing is known by count.
-    pub fn announce(&mut self, models: BTreeSet<id::Model>, word: diagnostics::Observation) {
+    /// Applies another announcement while no count is known.
+    pub fn apply_announcement(
+        &mut self,
+        models: BTreeSet<id::Model>,
+        observation: diagnostics::Observation,
+    ) {
         self.adapters
             .retain(|(model, _), _| models.contains(model.as_str()));
         self.models = models;
-        self.word = word;
+        self.observation = observation;
     }
 
-    /// Whether a report is from before an order that was accepted.
+    /// Whether a report precedes an accepted order.
     #[must_use]
-    pub const fn is_old(&self, report: &order::Report) -> bool {
-        report.accepted < self.least
+    pub const fn is_outdated(&self, report: &order::Report) -> bool {
+        report.accepted < self.min_count
     }
 
-    /// Whether a report is from after orders of which nothing is known here.
+    /// Whether a report follows orders that are not known here.
     #[must_use]
-    pub const fn is_later(&self, report: &order::Report) -> bool {
-        !self.reported || report.accepted > self.least
+    pub const fn is_newer(&self, report: &order::Report) -> bool {
+        !self.reported || report.accepted > self.min_count
     }
 
-    /// Takes the report of an idle runner that is not old.
+    /// Applies the report of an idle runner that is not outdated.
     ///
-    /// For the count that is known it tells nothing new but what has ended; for a later one
-    /// all that is known is replaced.
-    pub fn adopt(&mut self, now: duration::Instant, report: &order::Report) {
+    /// A report with the known count adds nothing but the end of orders; one with a later
+    /// count replaces all that is known.
+    pub fn apply_report(&mut self, now: duration::Instant, report: &order::Report) {
         let used = |adapter: &runner::Adapter| self.adapters.get(adapter).copied();
-        let told = report.adapters.iter().cloned().map(|adapter| {
+        let listed = report.adapters.iter().cloned().map(|adapter| {
             let used = used(&adapter).unwrap_or(now);
             (adapter, used)
         });
-        let told: BTreeMap<runner::Adapter, duration::Instant> = told.collect();
-        if self.is_later(report) {
+        let listed: BTreeMap<runner::Adapter, duration::Instant> = listed.collect();
+        if self.is_newer(report) {
             self.models.clear();
             self.adapters.clear();
         }
-        let withheld = self.leaving.union(&self.doubted);
-        let gone = withheld.filter(|adapter| !told.contains_key(*adapter));
+        let withheld = self.draining.union(&self.reported_missing);
+        let gone = withheld.filter(|adapter| !listed.contains_key(*adapter));
         let gone: Vec<runner::Adapter> = gone.cloned().collect();
         for adapter in &gone {
-            self.dropped(adapter);
+            self.remove_adapter(adapter);
         }
-        self.doubted.clear();
+        self.reported_missing.clear();
         self.models.extend(report.models.iter().cloned());
-        self.adapters.extend(told);
+        self.adapters.extend(listed);
         self.reported = true;
-        self.count = Some(report.accepted);
-        self.least = self.least.max(report.accepted);
-        self.word = diagnostics::Observation {
+        self.accepted_count = Some(report.accepted);
+        self.min_count = self.min_count.max(report.accepted);
+        self.observation = diagnostics::Observation {
             source: diagnostics::Source::Report(report.accepted),
             at: now,
         };
     }
 
-    /// The runner has accepted an order that named `expect`.
-    pub fn accept(&mut self, expect: u64) {
-        self.count = Some(expect + 1);
-        self.least = self.least.max(expect + 1);
+    /// Records that the runner accepted an order that named `expected_count`.
+    pub fn record_accepted(&mut self, expected_count: u64) {
+        self.accepted_count = Some(expected_count + 1);
+        self.min_count = self.min_count.max(expected_count + 1);
     }
 
-    /// The room once an order is carried out. An adapter may keep its place when it is dropped.
+    /// The inventory after an action. An adapter that is unloaded may keep its slot.
     #[must_use]
-    pub fn after(&self, now: duration::Instant, action: &order::Action) -> Self {
-        let mut room = self.clone();
+    pub fn after_action(&self, now: duration::Instant, action: &order::Action) -> Self {
+        let mut inventory = self.clone();
         match action {
-            order::Action::Load(model) => room.loaded(model, self.word),
-            order::Action::Unload(model) => room.unloaded(model, self.word),
+            order::Action::Load(model) => inventory.add_model(model, self.observation),
+            order::Action::Unload(model) => inventory.remove_model(model, self.observation),
             order::Action::LoadAdapter(model, adapter) => {
-                room.fetch(now, (model.clone(), adapter.clone()));
+                inventory.add_adapter(now, (model.clone(), adapter.clone()));
             }
             order::Action::UnloadAdapter(..) => {}
         }
-        room
+        inventory
     }
 
-    /// The runner answered that what was ordered is done, which counts if it did it then.
-    pub fn suppose(&mut self, count: u64) {
-        self.count = Some(count);
+    /// Sets the count that an answer or report implies, without raising the certain one:
+    /// it holds only if the runner accepted the order then.
+    pub fn set_count(&mut self, count: u64) {
+        self.accepted_count = Some(count);
     }
 
-    /// The count has to be asked for before the next order.
+    /// Marks the count as unknown; it must be requested before the next order.
     pub fn forget_count(&mut self) {
-        self.count = None;
+        self.accepted_count = None;
     }
 
-    /// A model has come.
-    pub fn loaded(&mut self, model: &id::Model, word: diagnostics::Observation) {
+    /// Adds a loaded model.
+    pub fn add_model(&mut self, model: &id::Model, observation: diagnostics::Observation) {
         self.models.insert(model.clone());
-        self.word = word;
+        self.observation = observation;
     }
 
-    /// A model has gone with its adapters.
-    pub fn unloaded(&mut self, model: &id::Model, word: diagnostics::Observation) {
+    /// Removes an unloaded model with its adapters.
+    pub fn remove_model(&mut self, model: &id::Model, observation: diagnostics::Observation) {
         self.models.remove(model);
-        self.adapters.retain(|(of, _), _| of != model);
-        self.leaving.retain(|(of, _)| of != model);
-        self.doubted.retain(|(of, _)| of != model);
-        self.word = word;
+        self.adapters.retain(|(base, _), _| base != model);
+        self.draining.retain(|(base, _)| base != model);
+        self.reported_missing.retain(|(base, _)| base != model);
+        self.observation = observation;
     }
 
-    /// An adapter takes a place from now on.
-    pub fn fetch(&mut self, now: duration::Instant, adapter: runner::Adapter) {
-        self.leaving.remove(&adapter);
-        self.doubted.remove(&adapter);
+    /// Adds an adapter, which takes a slot from now on.
+    pub fn add_adapter(&mut self, now: duration::Instant, adapter: runner::Adapter) {
+        self.draining.remove(&adapter);
+        self.reported_missing.remove(&adapter);
         self.adapters.insert(adapter, now);
     }
 
-    /// An adapter goes when its requests have ended. It takes its place until a report from
-    /// after that.
-    pub fn leave(&mut self, adapter: &runner::Adapter) {
+    /// Marks an adapter as draining: it is unloaded when its requests have ended, and
+    /// takes its slot until a later report no longer lists it.
+    pub fn mark_draining(&mut self, adapter: &runner::Adapter) {
         if self.adapters.contains_key(adapter) {
-            self.leaving.insert(adapter.clone());
+            self.draining.insert(adapter.clone());
         }
     }
 
-    /// An adapter is gone.
-    pub fn dropped(&mut self, adapter: &runner::Adapter) {
+    /// Removes an adapter.
+    pub fn remove_adapter(&mut self, adapter: &runner::Adapter) {
         self.adapters.remove(adapter);
-        self.leaving.remove(adapter);
-        self.doubted.remove(adapter);
+        self.draining.remove(adapter);
+        self.reported_missing.remove(adapter);
     }
 
-    /// Somebody did not find an adapter. It may have come since, so that only a report frees
-    /// its place.
-    pub fn doubt(&mut self, adapter: &runner::Adapter) {
+    /// Marks an adapter that a runner said it lacks. It may have been loaded since, so
+    /// only a report frees its slot.
+    pub fn mark_missing(&mut self, adapter: &runner::Adapter) {
         if self.adapters.contains_key(adapter) {
-            self.doubted.insert(adapter.clone());
-            self.count = None;
+            self.reported_missing.insert(adapter.clone());
+            self.accepted_count = None;
         }
     }
 
-    /// An adapter is in use.
-    pub fn used(&mut self, now: duration::Instant, adapter: &runner::Adapter) {
+    /// Records that an adapter is in use.
+    pub fn mark_used(&mut self, now: duration::Instant, adapter: &runner::Adapter) {
         if let Some(used) = self.adapters.get_mut(adapter) {
             *used = now;
         }
--- a/crates/cranberrygap-placement/src/residency/load_bucket.rs
+++ b/crates/cranberrygap-placement/src/residency/load_bucket.rs
@@ -1,61 +1,61 @@
-//! How many loads from the weight store may begin.
+//! Limits how many loads from the weight store may start.
 
 use cranberrygap_model::duration;
 
-/// Loads that may begin at once. With the steady rate this stays below what the
-/// store allows in any five seconds, also when a few begin late.
+/// Number of loads that may start at once. With the steady rate this stays below what the
+/// store allows in any five seconds, even if a few start late.
 const BURST: f64 = 2.0;
 
-/// A token bucket of loads that is empty when a leader takes office.
+/// A token bucket of loads that is empty when a leader's term begins.
 ///
-/// The leader before may have spent all that was there a moment ago; only what
-/// comes in from now on is certain to be free.
+/// The leader before may have spent all tokens a moment ago; only what is refilled from
+/// now on is certain to be free.
 #[derive(Debug, Clone)]
-pub struct Ceiling {
+pub struct Bucket {
     rate: f64,
-    level: f64,
-    at: duration::Instant,
+    tokens: f64,
+    refilled_at: duration::Instant,
 }
 
-impl Ceiling {
-    /// An empty bucket of `rate` loads a second.
+impl Bucket {
+    /// Creates an empty bucket that refills with `rate` loads per second.
     #[must_use]
     pub const fn new(rate: f64, now: duration::Instant) -> Self {
         Self {
             rate,
-            level: 0.0,
-            at: now,
+            tokens: 0.0,
+            refilled_at: now,
         }
     }
 
     /// Changes the rate.
     pub fn set_rate(&mut self, now: duration::Instant, rate: f64) {
-        self.advance(now);
+        self.refill(now);
         self.rate = rate;
     }
 
-    /// Whether a load may begin now.
-    pub fn is_open(&mut self, now: duration::Instant) -> bool {
-        self.advance(now);
-        self.level >= 1.0
+    /// Whether a load may start now.
+    pub fn has_token(&mut self, now: duration::Instant) -> bool {
+        self.refill(now);
+        self.tokens >= 1.0
     }
 
-    /// Whether loads may begin that nobody waits for: there are enough left for the
-    /// next ones that somebody does.
+    /// Whether standby loads may start: enough tokens remain for the next loads that
+    /// callers wait for.
     pub fn is_full(&mut self, now: duration::Instant) -> bool {
-        self.advance(now);
-        self.level >= BURST
+        self.refill(now);
+        self.tokens >= BURST
     }
 
-    /// Counts a load that begins.
+    /// Takes the token of a load that starts.
     pub fn take(&mut self, now: duration::Instant) {
-        self.advance(now);
-        self.level -= 1.0;
+        self.refill(now);
+        self.tokens -= 1.0;
     }
 
-    fn advance(&mut self, now: duration::Instant) {
-        let passed = now.since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(BURST);
-        self.at = now;
+    fn refill(&mut self, now: duration::Instant) {
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(BURST);
+        self.refilled_at = now;
     }
 }
--- a/crates/cranberrygap-placement/src/residency/order.rs
+++ b/crates/cranberrygap-placement/src/residency/order.rs
@@ -1,70 +1,70 @@
-//! Orders to runners and what becomes of them.
+//! Orders to runners, their answers, and the reports of runners.
 
 use std::fmt;
 
 use cranberrygap_model::{address, id, number};
 use smol_str::SmolStr;
 
-/// What an order asks for.
+/// A change that an order asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Load a model.
     Load(id::Model),
-    /// Drop a model with its adapters.
+    /// Unload a model with its adapters.
     Unload(id::Model),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a resident model.
     LoadAdapter(id::Model, SmolStr),
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter(id::Model, SmolStr),
 }
 
-/// One order.
+/// An order to one runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Tells its answer from that to another one.
+    /// Identifies the order when its answer arrives.
     pub number: u64,
-    /// Who shall carry it out.
+    /// The runner that executes it.
     pub endpoint: id::Endpoint,
-    /// The process that it is meant for.
+    /// The runner process that it is meant for.
     pub boot: number::Boot,
-    /// Where the runner listens.
+    /// Address of the runner.
     pub address: address::Socket,
-    /// Orders that the runner has accepted before.
+    /// Number of orders that the runner has accepted before this one.
     pub expected_count: u64,
-    /// What it asks for.
+    /// The change that it asks for.
     pub action: Action,
 }
 
-/// What a runner answers to an order.
+/// A runner's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It carries it out.
+    /// The runner executes the order.
     Accepted,
-    /// What is asked for holds already, or held at once.
+    /// The requested state already holds, or was reached at once.
     Holds,
-    /// Another order is under way, or it has accepted another number of orders.
+    /// Another order is executing, or the runner has accepted another number of orders.
     Conflict,
-    /// It does not take the order; the same one will not do.
+    /// The runner rejects the order; sending the same order again cannot succeed.
     Refused,
 }
 
-/// What a runner says of itself when it is asked.
+/// A runner's answer to a status request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Its process, where it tells that.
+    /// The runner process, if the runner reports it.
     pub boot: Option<number::Boot>,
-    /// Orders that it has accepted.
+    /// Number of orders that the runner has accepted.
     pub accepted: u64,
-    /// Whether a model is being loaded or dropped.
+    /// Whether a model is being loaded or unloaded.
     pub busy: bool,
-    /// Models that it holds.
+    /// Models that the runner holds.
     pub models: Vec<id::Model>,
-    /// Adapters that it holds or fetches, as model and adapter.
+    /// Adapters that the runner holds or fetches, as model and adapter.
     pub adapters: Vec<(id::Model, SmolStr)>,
 }
 
 impl Action {
-    /// Whether it concerns a whole model, which makes the runner busy.
+    /// Whether the action concerns a whole model, which makes the runner busy.
     #[must_use]
     pub const fn is_model(&self) -> bool {
         matches!(self, Self::Load(_) | Self::Unload(_))
--- a/crates/cranberrygap-placement/src/residency/planner.rs
+++ b/crates/cranberrygap-placement/src/residency/planner.rs
@@ -1,9 +1,12 @@
-//! The leader's book of one service's runners, and what it orders from them.
+//! Plans and orders changes of models and adapters at the runners of one service.
+//!
+//! A [`Planner`] is the leader's state machine for one service. It takes announcements,
+//! reports and answers, and [`Planner::tick`] returns what to send next.
 
 mod adapters;
 mod moves;
-mod news;
-mod strays;
+mod stale_orders;
+mod updates;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,87 +18,90 @@
 use super::order;
 use super::runner;
 
-/// Time after which an order without an answer is sent again. Longer than a call
-/// takes on a healthy link, far shorter than a load.
-const REPEAT_AFTER: duration::Span = duration::Span::from_millis(700);
+/// Time after which an unanswered order is sent again. Longer than a call takes on a
+/// healthy link, far shorter than a load.
+const RESEND_AFTER: duration::Span = duration::Span::from_millis(700);
 
-/// Time that entries have to learn that a model is about to go. They hear of it
-/// within a few tens of milliseconds; what they have sent before is served.
-const RETIRE_AFTER: duration::Span = duration::Span::from_millis(120);
+/// Time between the publication of a retiring model and its unload. Entries learn of it
+/// within a few tens of milliseconds; requests that they sent before are still served.
+const UNLOAD_DELAY: duration::Span = duration::Span::from_millis(120);
 
-/// Time beyond the expected one after which a runner is asked whether it is done.
-/// Its announcement should have told by then.
-const OVERDUE: duration::Span = duration::Span::from_millis(400);
+/// Time past the expected end of an execution after which the runner is asked for a
+/// report. Its announcement should have arrived by then.
+const OVERDUE_AFTER: duration::Span = duration::Span::from_millis(400);
 
-/// Time for dropping a model whose requests still run.
+/// Expected time of an unload, during which running requests finish.
 const UNLOAD_TIME: duration::Span = duration::Span::from_secs(2);
 
-/// Age of a report's figures; a runner tells of itself as it was that long ago.
+/// Age of a report's content: a runner reports its state of that long ago.
 const REPORT_LAG: duration::Span = duration::Span::from_millis(600);
 
-/// Time without a report after which it is asked for again.
-const ASK_AGAIN: duration::Span = duration::Span::from_millis(1_500);
+/// Time after which an unanswered report request is repeated.
+const REPORT_RETRY_AFTER: duration::Span = duration::Span::from_millis(1_500);
 
-/// Differences that are kept until somebody takes them.
-const MOST_DIFFERENCES: usize = 256;
+/// Maximum number of differences kept until [`Planner::take_differences`].
+const MAX_DIFFERENCES: usize = 256;
 
-/// The same while an adapter waits for a place that is about to be free.
-const ASK_SOON: duration::Span = duration::Span::from_millis(300);
+/// Repeat time of report requests while an adapter waits for a slot that is about to
+/// become free.
+const SHORT_REPORT_RETRY_AFTER: duration::Span = duration::Span::from_millis(300);
 
-/// What the leader should do.
+/// An action for the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send this order.
     Send(order::Order),
-    /// Ask a runner for a report.
+    /// Request a report from this runner.
     FetchReport(id::Endpoint),
-    /// Tell all entries what a runner is about to drop and which adapters it holds.
+    /// Publish to all entries which model this runner is about to unload and which
+    /// adapters it holds.
     PublishResidency(id::Endpoint),
-    /// Answer whoever asked for an adapter: it is at this runner, or cannot be had.
+    /// Answer the adapter request with this ticket: the runner that has the adapter, or
+    /// none.
     ResolveAdapter(u64, Option<id::Endpoint>),
 }
 
-/// Who waits for an adapter.
+/// A request that waits for an adapter.
 #[derive(Debug, Clone)]
 struct Waiter {
     ticket: u64,
     endpoint: id::Endpoint,
     adapter: runner::Adapter,
-    ready: Option<duration::Instant>,
+    ready_at: Option<duration::Instant>,
     deadline: duration::Instant,
 }
 
-/// Runners of one service, what they hold and what was ordered from them.
+/// State of the runners of one service and of the orders to them.
 #[derive(Debug)]
 pub struct Planner {
     service: id::Service,
     engine: engine::Engine,
-    ceiling: load_bucket::Ceiling,
+    load_bucket: load_bucket::Bucket,
     runners: BTreeMap<id::Endpoint, runner::Runner>,
     demand: BTreeMap<id::Model, f64>,
-    /// Since when there is demand.
-    asked: Option<duration::Instant>,
+    /// Time since which there is demand.
+    demand_since: Option<duration::Instant>,
     waiters: Vec<Waiter>,
-    /// Runners of which the entries have to be told.
-    changed: BTreeSet<id::Endpoint>,
-    /// Nothing is ordered before this: an earlier leader's right to order may last
-    /// until then, and runners that do not compare leaders would take both.
-    opens: duration::Instant,
-    numbers: u64,
-    /// When the moves were planned last.
-    planned: Option<duration::Instant>,
-    /// When moves for demand that may come were looked for last.
-    prepared: Option<duration::Instant>,
-    /// How often the moves were planned.
-    plans: u64,
-    /// Words on runners' models that differ from what was known, for people.
+    /// Runners whose residency must be published to the entries.
+    unpublished: BTreeSet<id::Endpoint>,
+    /// No order is sent before this time: an earlier leader's right to order may last
+    /// until then, and runners that don't compare leaders would accept both.
+    orders_allowed_at: duration::Instant,
+    last_order_number: u64,
+    /// Time of the last plan.
+    planned_at: Option<duration::Instant>,
+    /// Time of the last plan of standby copies.
+    standby_planned_at: Option<duration::Instant>,
+    /// Number of plans so far.
+    plan_count: u64,
+    /// Observations of runners' models that differ from the inventory, for diagnostics.
     differences: Vec<diagnostics::Difference>,
-    /// Loads of which a copy may be on its way.
-    strays: Vec<strays::Stray>,
+    /// Loads of which a copy may still be delivered.
+    outstanding_loads: Vec<stale_orders::OutstandingLoad>,
 }
 
 impl Planner {
-    /// An empty book of a leader that took office at `now` and may order after
+    /// Creates the planner of a leader whose term began at `now` and that may order after
     /// `wait`.
     #[must_use]
     pub fn new(
@@ -104,50 +110,50 @@
         now: duration::Instant,
         wait: duration::Span,
     ) -> Self {
-        let ceiling = load_bucket::Ceiling::new(engine.store_rate, now);
+        let load_bucket = load_bucket::Bucket::new(engine.store_rate, now);
         Self {
             service,
             engine,
-            ceiling,
+            load_bucket,
             runners: BTreeMap::new(),
             demand: BTreeMap::new(),
-            asked: None,
+            demand_since: None,
             waiters: Vec::new(),
-            changed: BTreeSet::new(),
-            opens: now.after(wait),
-            numbers: 0,
-            planned: None,
-            prepared: None,
-            plans: 0,
+            unpublished: BTreeSet::new(),
+            orders_allowed_at: now.after(wait),
+            last_order_number: 0,
+            planned_at: None,
+            standby_planned_at: None,
+            plan_count: 0,
             differences: Vec::new(),
-            strays: Vec::new(),
+            outstanding_loads: Vec::new(),
         }
     }
 
-    /// The service whose runners these are.
+    /// The service whose runners are planned.
     #[must_use]
     pub const fn service(&self) -> &id::Service {
         &self.service
     }
 
-    /// Takes over changed models or room.
+    /// Applies changed models or capacities.
     pub fn set_engine(&mut self, now: duration::Instant, engine: engine::Engine) {
-        let engine = engine.following(&self.engine);
+        let engine = engine.keep_models_of(&self.engine);
         if engine != self.engine {
-            self.ceiling.set_rate(now, engine.store_rate);
+            self.load_bucket.set_rate(now, engine.store_rate);
             self.engine = engine;
         }
     }
 
-    /// Takes over the demand for each model, in seconds of one runner a second.
+    /// Sets the demand for each model, in seconds of one runner per second.
     pub fn set_demand(&mut self, now: duration::Instant, demand: BTreeMap<id::Model, f64>) {
         if !demand.is_empty() {
-            self.asked.get_or_insert(now);
+            self.demand_since.get_or_insert(now);
         }
         self.demand = demand;
     }
 
-    /// One runner.
+    /// State of one runner.
     #[must_use]
     pub fn runner(&self, name: &id::Endpoint) -> Option<&runner::Runner> {
         self.runners.get(name)
@@ -158,75 +164,82 @@
         self.runners.iter()
     }
 
-    /// Runners of which the entries have to be told, each once.
-    pub fn take_changed(&mut self) -> BTreeSet<id::Endpoint> {
-        std::mem::take(&mut self.changed)
+    /// Takes the runners whose residency must be published, each once.
+    pub fn take_unpublished(&mut self) -> BTreeSet<id::Endpoint> {
+        std::mem::take(&mut self.unpublished)
     }
 
-    /// What one runner's room is taken to be.
+    /// Memory and slots that a runner is assumed to use.
     #[must_use]
     pub fn usage(&self, now: duration::Instant, name: &id::Endpoint) -> Option<diagnostics::Usage> {
         let runner = self.runners.get(name)?;
         Some(diagnostics::Usage::new(now, &self.engine, runner))
     }
 
-    /// Words on runners' models that differ from what was known, each once.
+    /// Takes the observations of models that differ from the inventory, each once.
     pub fn take_differences(&mut self) -> Vec<diagnostics::Difference> {
         std::mem::take(&mut self.differences)
     }
 
-    fn differs(&mut self, found: Option<diagnostics::Difference>) {
-        if self.differences.len() < MOST_DIFFERENCES {
-            self.differences.extend(found);
+    fn record_difference(&mut self, difference: Option<diagnostics::Difference>) {
+        if self.differences.len() < MAX_DIFFERENCES {
+            self.differences.extend(difference);
         }
     }
 
-    /// What is due now.
+    /// Returns the actions that are due now.
     pub fn tick(&mut self, now: duration::Instant) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.ask(now, &mut outputs);
-        if now >= self.opens {
-            self.plan(now);
-            self.advance(now, &mut outputs);
+        self.request_reports(now, &mut outputs);
+        if now >= self.orders_allowed_at {
+            self.plan_moves(now);
+            self.send_due_orders(now, &mut outputs);
         }
-        self.settle_waiters(now, &mut outputs);
+        self.resolve_waiters(now, &mut outputs);
         outputs.extend(
-            self.take_changed()
+            self.take_unpublished()
                 .into_iter()
                 .map(Output::PublishResidency),
         );
         outputs
     }
 
-    /// Asks runners of which too little is known.
-    fn ask(&mut self, now: duration::Instant, outputs: &mut Vec<Output>) {
+    /// Requests reports from runners whose state is not known well enough.
+    fn request_reports(&mut self, now: duration::Instant, outputs: &mut Vec<Output>) {
         for (name, runner) in &mut self.runners {
             let overdue = runner
-                .carried
+                .execution
                 .as_ref()
-                .is_some_and(|carried| now >= carried.due.after(OVERDUE));
-            let unknown = runner.inventory.count().is_none() && runner.sent.is_none();
-            let unsettled = runner.inventory.is_unsettled() && runner.sent.is_none();
-            let pause = if unsettled && !runner.wanted.is_empty() {
-                ASK_SOON
+                .is_some_and(|execution| now >= execution.due_at.after(OVERDUE_AFTER));
+            let count_unknown =
+                runner.inventory.accepted_count().is_none() && runner.in_flight.is_none();
+            let has_withheld =
+                runner.inventory.has_withheld_adapters() && runner.in_flight.is_none();
+            let retry_after = if has_withheld && !runner.wanted_adapters.is_empty() {
+                SHORT_REPORT_RETRY_AFTER
             } else {
-                ASK_AGAIN
+                REPORT_RETRY_AFTER
             };
-            let waits = runner.asked.is_some_and(|asked| now < asked.after(pause));
-            if (unknown || overdue || unsettled || runner.is_disputed()) && !waits && runner.ready {
-                runner.asked = Some(now);
+            let is_waiting = runner
+                .report_requested_at
+                .is_some_and(|requested_at| now < requested_at.after(retry_after));
+            if (count_unknown || overdue || has_withheld || runner.has_conflicting_announcement())
+                && !is_waiting
+                && runner.ready
+            {
+                runner.report_requested_at = Some(now);
                 outputs.push(Output::FetchReport(name.clone()));
             }
         }
     }
 
-    fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    fn next_order_number(&mut self) -> u64 {
+        self.last_order_number += 1;
+        self.last_order_number
     }
 
-    /// Runners that load from the store now.
-    fn loading_from_store(&self) -> usize {
+    /// Number of runners that load from the weight store now.
+    fn count_store_loads(&self) -> usize {
         let runners = self.runners.values();
         let loading = runners.filter(|runner| match &runner.moving {
             Some(runner::Move::Loading(model)) => {
@@ -238,24 +251,25 @@
         loading.count()
     }
 
-    /// The book for people.
+    /// The planner's state, for operators.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
         let runners = self.runners.iter().map(|(name, runner)| {
             serde_json::json!({
                 "endpoint": name, "ready": runner.ready, "models": runner.inventory.models(),
-                "adapters": runner.inventory.adapters().len(), "accepted": runner.inventory.count(),
-                "moving": runner.moving.as_ref().map(|found| format!("{found:?}")),
-                "carried": runner.carried.as_ref().map(|carried| carried.action.to_string()),
-                "asked": runner.asked.is_some(),
-                "unsettled": runner.inventory.is_unsettled(),
-                "wanted": runner.wanted.len(),
-                "sent": runner.sent.as_ref().map(|sent| sent.order.action.to_string()),
+                "adapters": runner.inventory.adapters().len(),
+                "accepted": runner.inventory.accepted_count(),
+                "moving": runner.moving.as_ref().map(|change| format!("{change:?}")),
+                "carried": runner.execution.as_ref().map(|execution| execution.action.to_string()),
+                "asked": runner.report_requested_at.is_some(),
+                "unsettled": runner.inventory.has_withheld_adapters(),
+                "wanted": runner.wanted_adapters.len(),
+                "sent": runner.in_flight.as_ref().map(|in_flight| in_flight.order.action.to_string()),
             })
         });
         serde_json::json!({
             "service": self.service,
-            "plans": self.plans,
+            "plans": self.plan_count,
             "demand": self.demand,
             "waiting_for_adapters": self.waiters.len(),
             "runners": runners.collect::<Vec<_>>(),
@@ -263,5 +277,5 @@
     }
 }
 
-/// Numbers of announcements that came before any.
-const FIRST: number::Sequence = number::Sequence(0);
+/// Sequence number that precedes every announcement.
+const INITIAL_SEQUENCE: number::Sequence = number::Sequence(0);
--- a/crates/cranberrygap-placement/src/residency/planner/moves.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/moves.rs
@@ -1,123 +1,133 @@
-//! Moves of whole models: begun by the plan, carried out step by step.
+//! Moves of whole models: begun by the planner, executed step by step.
 
 use cranberrygap_model::{duration, id};
 use cranberrygap_wire::view;
 
-use super::{Output, Planner, REPEAT_AFTER, RETIRE_AFTER};
+use super::{Output, Planner, RESEND_AFTER, UNLOAD_DELAY};
 use crate::residency::order;
 use crate::residency::rebalance;
 use crate::residency::runner;
 
-/// Least time between two plans. A plan looks at each model at each runner, while reports
-/// and wishes for adapters come hundreds of times a second.
+/// Minimum time between two plans. A plan considers each model at each runner, while
+/// reports and adapter requests arrive hundreds of times per second.
 const PLAN_PERIOD: duration::Span = duration::Span::from_millis(90);
 
-/// Least time between two looks for demand that may come, which is not urgent.
-const PREPARE_PERIOD: duration::Span = duration::Span::from_millis(500);
+/// Minimum time between two plans of standby copies, which are not urgent.
+const STANDBY_PERIOD: duration::Span = duration::Span::from_millis(500);
 
-/// Moves that one look may begin; the next look sees what they change.
-const MOVES_A_LOOK: usize = 6;
+/// Maximum number of moves that one plan begins; the next plan sees their effect.
+const MAX_MOVES_PER_PLAN: usize = 6;
 
-/// Time for which demand must have been seen before copies are moved for demand that may
-/// come: until then a model that is asked for now and then looks like a silent one.
-const WATCH: duration::Span = duration::Span::from_secs(5);
+/// Time for which demand must have been observed before standby copies are placed. Until
+/// then a model with occasional requests looks like a silent one.
+const DEMAND_WARMUP: duration::Span = duration::Span::from_secs(5);
 
-/// Moves for demand that may come which go on at once. Each takes a runner's room for
-/// the time of an unload and a load; a shift of demand needs other runners meanwhile.
-const STANDING_MOVES: usize = 3;
+/// Maximum number of concurrent standby moves. Each takes a runner's memory for the time
+/// of an unload and a load; a shift of demand needs other runners meanwhile.
+const MAX_STANDBY_MOVES: usize = 3;
 
 impl Planner {
-    /// Begins the moves that are worth their cost, once in a period.
-    pub(super) fn plan(&mut self, now: duration::Instant) {
-        if !is_due(self.planned, now, PLAN_PERIOD) {
+    /// Begins the moves that are worth their cost, at most once per period.
+    pub(super) fn plan_moves(&mut self, now: duration::Instant) {
+        if !is_due(self.planned_at, now, PLAN_PERIOD) {
             return;
         }
-        self.planned = Some(now);
-        self.plans += 1;
-        for _move in 0..MOVES_A_LOOK {
-            let at_once = self.engine.loads_at_once();
-            let open = self.ceiling.is_open(now) && self.loading_from_store() < at_once;
-            let draft = rebalance::Draft::new(&self.engine, &self.runners, &self.demand, open);
-            let Some(wish) = draft.next() else {
+        self.planned_at = Some(now);
+        self.plan_count += 1;
+        for _move in 0..MAX_MOVES_PER_PLAN {
+            let max_store_loads = self.engine.concurrent_loads();
+            let store_available =
+                self.load_bucket.has_token(now) && self.count_store_loads() < max_store_loads;
+            let rebalancer = rebalance::Rebalancer::new(
+                &self.engine,
+                &self.runners,
+                &self.demand,
+                store_available,
+            );
+            let Some(placement) = rebalancer.next_placement() else {
                 break;
             };
-            self.begin(now, wish);
+            self.begin_move(now, placement);
         }
-        self.prepare(now);
+        self.plan_standby_move(now);
     }
 
-    /// Begins a move that makes ready for demand that may move.
-    fn prepare(&mut self, now: duration::Instant) {
-        let watched = self.asked.is_some_and(|since| now.since(since) >= WATCH);
+    /// Begins a move that places a standby copy for future demand.
+    fn plan_standby_move(&mut self, now: duration::Instant) {
+        let warmed_up = self
+            .demand_since
+            .is_some_and(|since| now.since(since) >= DEMAND_WARMUP);
         let moving = self.runners.values();
         let moving = moving.filter(|runner| runner.moving.is_some()).count();
-        let due = is_due(self.prepared, now, PREPARE_PERIOD);
-        if !watched || moving >= STANDING_MOVES || !due {
+        let due = is_due(self.standby_planned_at, now, STANDBY_PERIOD);
+        if !warmed_up || moving >= MAX_STANDBY_MOVES || !due {
             return;
         }
-        self.prepared = Some(now);
-        let full = self.ceiling.is_full(now);
-        let draft = rebalance::Draft::new(&self.engine, &self.runners, &self.demand, full);
-        if let Some(wish) = draft.standing() {
-            self.begin(now, wish);
+        self.standby_planned_at = Some(now);
+        let bucket_full = self.load_bucket.is_full(now);
+        let rebalancer =
+            rebalance::Rebalancer::new(&self.engine, &self.runners, &self.demand, bucket_full);
+        if let Some(placement) = rebalancer.standby_placement() {
+            self.begin_move(now, placement);
         }
     }
 
-    fn begin(&mut self, now: duration::Instant, wish: rebalance::Wish) {
-        let weights = self.engine.models.get(&wish.load).copied();
-        let Some(runner) = self.runners.get_mut(&wish.endpoint) else {
+    fn begin_move(&mut self, now: duration::Instant, placement: rebalance::Placement) {
+        let weights = self.engine.models.get(&placement.load).copied();
+        let Some(runner) = self.runners.get_mut(&placement.endpoint) else {
             return;
         };
-        let counted = weights.is_some_and(|weights| runner.load_time(&wish.load, &weights).1);
-        // Counted when the load is decided on: it begins within a second or two, and
-        // another move must not count on the same one meanwhile.
-        if counted {
-            self.ceiling.take(now);
+        let from_store =
+            weights.is_some_and(|weights| runner.load_time(&placement.load, &weights).1);
+        // The token is taken when the load is decided: it starts within a second or two,
+        // and another move must not count on the same token meanwhile.
+        if from_store {
+            self.load_bucket.take(now);
         }
-        runner.moving = Some(match wish.victim {
+        runner.moving = Some(match placement.evict {
             Some(victim) => runner::Move::Retiring {
                 victim,
-                load: Some(wish.load),
+                load: Some(placement.load),
                 told: None,
             },
-            None => runner::Move::Loading(wish.load),
+            None => runner::Move::Loading(placement.load),
         });
-        self.changed.insert(wish.endpoint);
+        self.unpublished.insert(placement.endpoint);
     }
 
-    /// The entries know what a runner is about to drop.
+    /// Records that the entries know a runner's retiring models.
     ///
-    /// Only word of the model that goes now counts: an earlier one may come after the move
-    /// was begun.
-    pub fn confirm_residency(&mut self, now: duration::Instant, word: &view::Residency) {
-        let runner = self.runners.get_mut(&word.endpoint);
+    /// Only a residency that names the current outgoing model counts: an earlier one may
+    /// be committed after the move began.
+    pub fn confirm_residency(&mut self, now: duration::Instant, residency: &view::Residency) {
+        let runner = self.runners.get_mut(&residency.endpoint);
         let moving = runner.and_then(|runner| runner.moving.as_mut());
         if let Some(runner::Move::Retiring { victim, told, .. }) = moving
-            && word.retiring.contains(victim)
+            && residency.retiring.contains(victim)
         {
             told.get_or_insert(now);
         }
     }
 
-    /// Sends what is due next at each runner.
-    pub(super) fn advance(&mut self, now: duration::Instant, outputs: &mut Vec<Output>) {
+    /// Sends the next due order of each runner.
+    pub(super) fn send_due_orders(&mut self, now: duration::Instant, outputs: &mut Vec<Output>) {
         let names: Vec<id::Endpoint> = self.runners.keys().cloned().collect();
         for name in names {
-            if let Some(order) = self.repeat(now, &name) {
+            if let Some(order) = self.resend_due(now, &name) {
                 outputs.push(Output::Send(order));
                 continue;
             }
             let Some(action) = self.next_action(now, &name) else {
                 continue;
             };
-            if self.meets_stray(now, &name, &action) {
+            if self.exposes_to_stale_load(now, &name, &action) {
                 continue;
             }
-            let number = self.next_number();
+            let number = self.next_order_number();
             let Some(runner) = self.runners.get_mut(&name) else {
                 continue;
             };
-            let Some(expect) = runner.inventory.count() else {
+            let Some(expected_count) = runner.inventory.accepted_count() else {
                 continue;
             };
             let order = order::Order {
@@ -125,40 +135,40 @@
                 endpoint: name,
                 boot: runner.boot,
                 address: runner.address,
-                expected_count: expect,
+                expected_count,
                 action,
             };
-            runner.sent = Some(runner::Sent {
+            runner.in_flight = Some(runner::InFlight {
                 order: order.clone(),
-                at: now,
-                after: runner.sequence,
-                repeated: false,
+                sent_at: now,
+                sequence_before: runner.sequence,
+                resent: false,
             });
-            self.goes_out(now, &order);
+            self.record_outstanding_load(now, &order);
             outputs.push(Output::Send(order));
         }
     }
 
-    /// The order without an answer, when it is time to send it again.
-    fn repeat(&mut self, now: duration::Instant, name: &id::Endpoint) -> Option<order::Order> {
+    /// Returns the unanswered order when it is due to be sent again.
+    fn resend_due(&mut self, now: duration::Instant, name: &id::Endpoint) -> Option<order::Order> {
         let runner = self.runners.get_mut(name)?;
         let ready = runner.ready;
-        let sent = runner.sent.as_mut()?;
-        if !ready || now < sent.at.after(REPEAT_AFTER) {
+        let in_flight = runner.in_flight.as_mut()?;
+        if !ready || now < in_flight.sent_at.after(RESEND_AFTER) {
             return None;
         }
-        // A plan that came since may leave no room for it. The copies that were sent fitted
-        // when they were, and whether one was accepted only the runner can say.
-        if !self.engine.fits(&runner.inventory, &sent.order.action) {
-            runner.sent = None;
+        // A newer plan may leave no capacity for the order. The copies already sent did
+        // fit when they were sent, and only the runner knows whether one was accepted.
+        if !self.engine.fits(&runner.inventory, &in_flight.order.action) {
+            runner.in_flight = None;
             runner.moving = None;
             runner.inventory.forget_count();
-            self.changed.insert(name.clone());
+            self.unpublished.insert(name.clone());
             return None;
         }
-        sent.at = now;
-        sent.repeated = true;
-        Some(sent.order.clone())
+        in_flight.sent_at = now;
+        in_flight.resent = true;
+        Some(in_flight.order.clone())
     }
 
     fn next_action(
@@ -167,14 +177,17 @@
         name: &id::Endpoint,
     ) -> Option<order::Action> {
         let runner = self.runners.get_mut(name)?;
-        if runner.sent.is_some() || runner.inventory.count().is_none() || !runner.ready {
+        if runner.in_flight.is_some()
+            || runner.inventory.accepted_count().is_none()
+            || !runner.ready
+        {
             return None;
         }
-        // A runner carries out one order at a time. It turns down any other until a
-        // model has come or its streams have ended, and asked in vain it would have
-        // to report before it gets the next one: one sees runners without orders for
-        // seconds after their moves.
-        if runner.carried.is_some() {
+        // A runner executes one order at a time. It rejects any other until a model has
+        // loaded or its streams have ended, and after such a rejection it has to report
+        // before the next order, which leaves runners without orders for seconds after
+        // their moves.
+        if runner.execution.is_some() {
             return None;
         }
         match &runner.moving {
@@ -182,7 +195,7 @@
                 victim,
                 load,
                 told: Some(told),
-            }) if now >= told.after(RETIRE_AFTER) => {
+            }) if now >= told.after(UNLOAD_DELAY) => {
                 let (victim, load) = (victim.clone(), load.clone());
                 runner.moving = Some(runner::Move::Unloading {
                     victim: victim.clone(),
@@ -195,20 +208,20 @@
             }
             Some(runner::Move::Loading(model)) => {
                 let model = model.clone();
-                return self.checked_load(name, model);
+                return self.load_if_it_fits(name, model);
             }
             _ => {}
         }
-        self.next_adapter(now, name)
+        self.next_adapter_action(now, name)
     }
 
-    /// The load, if it fits into what the runner certainly has; else it is dropped.
-    fn checked_load(&mut self, name: &id::Endpoint, model: id::Model) -> Option<order::Action> {
+    /// Returns the load if it fits into the known inventory, else cancels the move.
+    fn load_if_it_fits(&mut self, name: &id::Endpoint, model: id::Model) -> Option<order::Action> {
         let runner = self.runners.get_mut(name)?;
         let load = order::Action::Load(model);
         if !self.engine.fits(&runner.inventory, &load) {
             runner.moving = None;
-            self.changed.insert(name.clone());
+            self.unpublished.insert(name.clone());
             return None;
         }
         Some(load)
--- a/crates/cranberrygap-placement/src/residency/rebalance.rs
+++ b/crates/cranberrygap-placement/src/residency/rebalance.rs
@@ -1,4 +1,4 @@
-//! Which model a runner should load next, and which it should drop for that.
+//! Which model a runner should load next, and which one it should evict for that.
 
 use std::collections::BTreeMap;
 
@@ -7,99 +7,101 @@
 use super::engine;
 use super::runner;
 
-/// Part of a runner's time at which its models get a further copy. Half busy, a
-/// prompt waits on average half as long as it takes to read; above that the wait
-/// grows fast, and a load takes seconds to help.
-const BUSY: f64 = 0.15;
+/// Share of a runner's time at which its models get another copy. At half load a prompt
+/// waits on average half as long as its prefill takes; above that the wait grows fast,
+/// and a load takes seconds to help.
+const EXTRA_COPY_LOAD: f64 = 0.15;
 
-/// Load of the new place against that of the best present one, above which a
-/// further copy gains too little for the load that it costs.
-const RELIEF: f64 = 0.65;
+/// Maximum load of the new runner relative to the least loaded existing copy; above it
+/// another copy gains too little for the cost of its load.
+const MAX_RELATIVE_LOAD: f64 = 0.65;
 
-/// Loss of a victim against the gain of what takes its place. Below one, so that
-/// two models of about the same demand do not drive each other out by turns.
-const WORTH: f64 = 0.6;
+/// Maximum ratio of an eviction's loss to the gain of the model that takes its place.
+/// Below one, so that two models of similar demand don't evict each other in turns.
+const MAX_LOSS_PER_GAIN: f64 = 0.6;
 
-/// Work below which a model's last copy may go to disk: a request in some seconds, each
-/// some hundredths of a second of a runner.
-const IDLE: f64 = 0.011;
+/// Maximum work of a model whose last copy may be left to a runner's disk: a request
+/// every few seconds, each taking some hundredths of a second of a runner.
+const MAX_IDLE_WORK: f64 = 0.011;
 
-/// What the return of such a model costs, in work: the move back, and the requests that
-/// wait for it, each for about a second.
-const RETURN: f64 = 0.032;
-const RETURN_TIMES: f64 = 6.0;
+/// Cost of reloading such a model, in work: the move back, and the requests that wait for
+/// it, each for about a second.
+const RELOAD_COST: f64 = 0.032;
+const RELOAD_COST_PER_WORK: f64 = 6.0;
 
-/// Weight of demand for a model without a copy. All of it is lost; but loads from the
-/// store are few, and a busy model whose copies turn a multiple of that away goes first.
-const LOST: f64 = 4.0;
+/// Weight of demand for a model without a copy. All of that demand is lost; but loads
+/// from the store are few, and a busy model whose copies reject a multiple of it goes
+/// first.
+const UNSERVED_WEIGHT: f64 = 4.0;
 
-/// Work above which one victim counts as much as another: that of ten runners.
-const MOST_MISSED: f64 = 10.0;
+/// Work above which all evictions count as equally costly: that of ten runners.
+const MAX_EVICTION_LOSS: f64 = 10.0;
 
-/// Parts into which a model's demand is cut when it is spread over its copies.
-const PARTS: u32 = 8;
+/// Number of parts into which a model's demand is split when it is spread over its
+/// copies.
+const DEMAND_PARTS: u32 = 8;
 
-/// Work that stands for "nobody asked of late".
-const SILENT: f64 = 0.000_1;
+/// Maximum work of a model that counts as silent.
+const MAX_SILENT_WORK: f64 = 0.000_1;
 
-/// Copies that a model without demand should have, one that is asked for steadily at
-/// least, by the room that there is.
+/// Number of copies that a model without demand should have, and a steadily requested one
+/// at least, if memory allows.
 ///
-/// Demand moves within six seconds to models for which nobody asked before, and a load
-/// from the store takes as long: with one copy each, a third of their callers is refused
-/// or late until the loads are done. A model that is asked for now and then has shown
-/// what it needs; one that is silent may be the next. Copies beyond what present demand
-/// needs stand there for it.
-const STANDING: usize = 3;
-
-/// How many copies more than the receiving model a victim has at least: a move that
-/// only turns two models' numbers of copies around helps nobody.
-const UNEVEN: usize = 2;
-
-/// A model to load, and one to drop first if room is short.
+/// Demand shifts within six seconds to models without recent requests, and a load from
+/// the store takes as long: with one copy each, a third of their requests are refused or
+/// late until the loads finish. A model with occasional requests has shown what it needs;
+/// a silent one may be next. Copies beyond what current demand needs are kept ready for
+/// that shift.
+const STANDBY_COPIES: usize = 3;
+
+/// Minimum number of copies that an evicted model has beyond the receiving one: a move
+/// that only swaps the copy counts of two models gains nothing.
+const MIN_COPY_SURPLUS: usize = 2;
+
+/// A model to load, and a model to evict first if memory is short.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wish {
-    /// Where.
+pub struct Placement {
+    /// The runner.
     pub endpoint: id::Endpoint,
-    /// What comes.
+    /// The model to load.
     pub load: id::Model,
-    /// What goes.
-    pub victim: Option<id::Model>,
+    /// The model to evict.
+    pub evict: Option<id::Model>,
 }
 
-/// Runners of one service and the demand that they see.
+/// Runners of one service with the current demand spread over them.
 #[derive(Debug)]
-pub struct Draft<'book> {
-    engine: &'book engine::Engine,
-    runners: &'book BTreeMap<id::Endpoint, runner::Runner>,
-    demand: &'book BTreeMap<id::Model, f64>,
-    store_open: bool,
-    /// Places of the runners that have a copy, in the order of their names.
-    copies: BTreeMap<&'book id::Model, Vec<usize>>,
-    /// Confirmed copies that stay; one that is only on its way may fail.
-    confirmed: BTreeMap<&'book id::Model, usize>,
-    /// Part of its time that each runner's models take, by its place.
-    load: Vec<f64>,
-    /// Memory that is free once what was begun is done, by the same place.
-    free: Vec<u64>,
+pub struct Rebalancer<'planner> {
+    engine: &'planner engine::Engine,
+    runners: &'planner BTreeMap<id::Endpoint, runner::Runner>,
+    demand: &'planner BTreeMap<id::Model, f64>,
+    store_available: bool,
+    /// Indices of the runners that have a copy, in the order of their names.
+    copies: BTreeMap<&'planner id::Model, Vec<usize>>,
+    /// Number of confirmed copies that stay; a copy that is still loading may fail.
+    confirmed_copies: BTreeMap<&'planner id::Model, usize>,
+    /// Share of each runner's time that its models take, by runner index.
+    loads: Vec<f64>,
+    /// Free memory in bytes once the moves under way are done, by runner index.
+    free_memory: Vec<u64>,
 }
 
-impl<'book> Draft<'book> {
-    /// Spreads `demand`, in seconds of one runner a second, over the copies that there
-    /// are or will be.
+impl<'planner> Rebalancer<'planner> {
+    /// Spreads `demand`, in seconds of one runner per second, over the existing and
+    /// incoming copies.
     #[must_use]
     pub fn new(
-        engine: &'book engine::Engine,
-        runners: &'book BTreeMap<id::Endpoint, runner::Runner>,
-        demand: &'book BTreeMap<id::Model, f64>,
-        store_open: bool,
+        engine: &'planner engine::Engine,
+        runners: &'planner BTreeMap<id::Endpoint, runner::Runner>,
+        demand: &'planner BTreeMap<id::Model, f64>,
+        store_available: bool,
     ) -> Self {
         let mut copies: BTreeMap<&id::Model, Vec<usize>> = BTreeMap::new();
-        let mut confirmed: BTreeMap<&id::Model, usize> = BTreeMap::new();
+        let mut confirmed_copies: BTreeMap<&id::Model, usize> = BTreeMap::new();
         let ready = runners.values().enumerate();
-        for (place, runner) in ready.filter(|(_, runner)| runner.ready) {
-            for model in runner.settled() {
-                copies.entry(model).or_default().push(place);
+        for (index, runner) in ready.filter(|(_, runner)| runner.ready) {
+            for model in runner.future_models() {
+                copies.entry(model).or_default().push(index);
             }
             for model in runner
                 .inventory
@@ -107,42 +109,45 @@
                 .iter()
                 .filter(|model| runner.serves(model))
             {
-                *confirmed.entry(model).or_default() += 1;
+                *confirmed_copies.entry(model).or_default() += 1;
             }
         }
-        let mut draft = Self {
+        let mut rebalancer = Self {
             engine,
             runners,
             demand,
-            store_open,
+            store_available,
             copies,
-            confirmed,
-            load: vec![0.0; runners.len()],
-            free: runners.values().map(|runner| runner.free(engine)).collect(),
+            confirmed_copies,
+            loads: vec![0.0; runners.len()],
+            free_memory: runners
+                .values()
+                .map(|runner| runner.free_memory(engine))
+                .collect(),
         };
-        draft.spread();
-        draft
+        rebalancer.spread_demand();
+        rebalancer
     }
 
-    /// Gives each part of a model's demand to its least loaded copy, models with
-    /// few copies first, since they have the least choice.
-    fn spread(&mut self) {
+    /// Assigns each part of a model's demand to its least loaded copy, models with few
+    /// copies first, since they have the least choice.
+    fn spread_demand(&mut self) {
         let mut models: Vec<(&id::Model, f64)> = self
             .demand
             .iter()
             .map(|(model, work)| (model, *work))
             .collect();
-        models.sort_by_key(|(model, _)| self.count(model));
+        models.sort_by_key(|(model, _)| self.copy_count(model));
         for (model, work) in models {
             let Some(copies) = self.copies.get(model) else {
                 continue;
             };
-            for _part in 0..PARTS {
-                let least = copies
+            for _part in 0..DEMAND_PARTS {
+                let least_loaded = copies
                     .iter()
-                    .min_by(|left, right| self.load[**left].total_cmp(&self.load[**right]));
-                if let Some(place) = least {
-                    self.load[*place] += work / f64::from(PARTS);
+                    .min_by(|left, right| self.loads[**left].total_cmp(&self.loads[**right]));
+                if let Some(index) = least_loaded {
+                    self.loads[*index] += work / f64::from(DEMAND_PARTS);
                 }
             }
         }
@@ -150,201 +155,224 @@
 
     /// Number of copies that a model has or will have.
     #[must_use]
-    pub fn count(&self, model: &id::Model) -> usize {
+    pub fn copy_count(&self, model: &id::Model) -> usize {
         self.copies.get(model).map_or(0, Vec::len)
     }
 
-    /// Part of a runner's time that its models take.
+    /// Share of a runner's time that its models take.
     #[must_use]
     pub fn load(&self, endpoint: &id::Endpoint) -> f64 {
-        let place = self.runners.keys().position(|name| name == endpoint);
-        place.map_or(0.0, |place| self.load[place])
+        let index = self.runners.keys().position(|name| name == endpoint);
+        index.map_or(0.0, |index| self.loads[index])
     }
 
-    /// The most useful move, if any is worth its cost.
+    /// The most useful placement, if any is worth its cost.
     #[must_use]
-    pub fn next(&self) -> Option<Wish> {
-        let mut wanted: Vec<(f64, &id::Model)> = self.pressures();
-        wanted.sort_by(|left, right| right.0.total_cmp(&left.0));
-        wanted.into_iter().find_map(|(_, model)| self.place(model))
+    pub fn next_placement(&self) -> Option<Placement> {
+        let mut ranked: Vec<(f64, &id::Model)> = self.models_needing_copies();
+        ranked.sort_by(|left, right| right.0.total_cmp(&left.0));
+        ranked
+            .into_iter()
+            .find_map(|(_, model)| self.place_copy(model))
     }
 
-    /// A copy that stands ready for demand that may move to its model.
+    /// A placement of a standby copy for demand that may shift to its model.
     #[must_use]
-    pub fn standing(&self) -> Option<Wish> {
-        let silent = |model: &&id::Model| self.work(model) <= SILENT;
-        let models = self.engine.models.keys().filter(silent);
+    pub fn standby_placement(&self) -> Option<Placement> {
+        let is_silent = |model: &&id::Model| self.work(model) <= MAX_SILENT_WORK;
+        let models = self.engine.models.keys().filter(is_silent);
         let mut models: Vec<&id::Model> = models
-            .filter(|model| (1..STANDING).contains(&self.count(model)))
+            .filter(|model| (1..STANDBY_COPIES).contains(&self.copy_count(model)))
             .collect();
-        models.sort_by_key(|model| self.count(model));
-        models.into_iter().find_map(|model| self.stand(model))
+        models.sort_by_key(|model| self.copy_count(model));
+        models
+            .into_iter()
+            .find_map(|model| self.place_standby(model))
     }
 
-    /// Runners whose models may be moved, with their places.
-    fn idle(&self) -> impl Iterator<Item = (usize, &'book id::Endpoint, &'book runner::Runner)> {
+    /// Runners whose models may be moved, with their indices.
+    fn idle_runners(
+        &self,
+    ) -> impl Iterator<Item = (usize, &'planner id::Endpoint, &'planner runner::Runner)> {
         let runners = self.runners.iter().enumerate();
-        let runners = runners.map(|(place, (name, runner))| (place, name, runner));
+        let runners = runners.map(|(index, (name, runner))| (index, name, runner));
         runners.filter(|(_, _, runner)| runner.is_idle())
     }
 
-    fn stand(&self, model: &'book id::Model) -> Option<Wish> {
+    fn place_standby(&self, model: &'planner id::Model) -> Option<Placement> {
         let weights = self.engine.models.get(model)?;
-        let copies = self.count(model);
-        let idle = self.idle();
-        let options = idle.filter_map(|(place, name, runner)| {
-            let (time, counted) = runner.load_time(model, weights);
-            if runner.inventory.models().contains(model) || (counted && !self.store_open) {
+        let copies = self.copy_count(model);
+        let idle = self.idle_runners();
+        let options = idle.filter_map(|(index, name, runner)| {
+            let (time, from_store) = runner.load_time(model, weights);
+            if runner.inventory.models().contains(model) || (from_store && !self.store_available) {
                 return None;
             }
-            let free = self.free[place];
-            let room = free >= weights.size.0;
-            let victim = if room {
+            let free = self.free_memory[index];
+            let fits = free >= weights.size.0;
+            let evicted = if fits {
                 None
             } else {
-                Some(self.spare(name, runner, free, model, copies + UNEVEN)?)
+                Some(self.spare_copy(name, runner, free, model, copies + MIN_COPY_SURPLUS)?)
             };
-            let missed = victim.map_or(0.0, |victim| self.loss(victim));
-            Some((missed + time.as_secs_f64() * 0.01, name, victim))
+            let loss = evicted.map_or(0.0, |evicted| self.eviction_loss(evicted));
+            Some((loss + time.as_secs_f64() * 0.01, name, evicted))
         });
-        let (_, name, victim) = options.min_by(|left, right| left.0.total_cmp(&right.0))?;
-        Some(Wish {
+        let (_, name, evicted) = options.min_by(|left, right| left.0.total_cmp(&right.0))?;
+        Some(Placement {
             endpoint: name.clone(),
             load: model.clone(),
-            victim: victim.cloned(),
+            evict: evicted.cloned(),
         })
     }
 
-    /// A copy at a runner that its model can do without: the others stay below what
-    /// would ask for a further copy.
-    fn spare(
+    /// A model at a runner that can spare its copy: the load of the remaining ones stays
+    /// below the level that calls for another copy.
+    fn spare_copy(
         &self,
         name: &id::Endpoint,
-        runner: &'book runner::Runner,
+        runner: &'planner runner::Runner,
         free: u64,
-        coming: &id::Model,
-        least: usize,
-    ) -> Option<&'book id::Model> {
-        let spared = self.fitting(runner, free, coming).filter(|model| {
-            let others = self.count_elsewhere(name, model);
-            let each = self.work(model) / others.max(1) as f64;
-            others + 1 >= least && each < BUSY * RELIEF
-        });
-        spared.min_by(|left, right| self.loss(left).total_cmp(&self.loss(right)))
+        incoming: &id::Model,
+        min_copies: usize,
+    ) -> Option<&'planner id::Model> {
+        let candidates = self
+            .sufficient_evictions(runner, free, incoming)
+            .filter(|model| {
+                let others = self.confirmed_elsewhere(name, model);
+                let load_per_copy = self.work(model) / others.max(1) as f64;
+                others + 1 >= min_copies && load_per_copy < EXTRA_COPY_LOAD * MAX_RELATIVE_LOAD
+            });
+        candidates.min_by(|left, right| {
+            self.eviction_loss(left)
+                .total_cmp(&self.eviction_loss(right))
+        })
     }
 
-    /// Models that need a copy, with what is lost while they wait for it.
-    fn pressures(&self) -> Vec<(f64, &'book id::Model)> {
+    /// Models that need a copy, with the work that is lost until they get it.
+    fn models_needing_copies(&self) -> Vec<(f64, &'planner id::Model)> {
         let models = self.engine.models.keys();
-        let pressed = models.filter_map(|model| {
+        let needed = models.filter_map(|model| {
             let work = self.demand.get(model).copied().unwrap_or_default();
-            let Some(least) = self.least_load(model) else {
-                // Nobody can be served. Without demand a copy on a runner's disk is near
-                // enough, else the model must come back in the end.
-                if work <= SILENT && self.is_stored(model) {
+            let Some(lowest_load) = self.lowest_copy_load(model) else {
+                // No caller can be served. Without demand a copy on a runner's disk
+                // suffices; otherwise the model must be loaded again eventually.
+                if work <= MAX_SILENT_WORK && self.is_stored_locally(model) {
                     return None;
                 }
-                return Some((work * LOST, model));
+                return Some((work * UNSERVED_WEIGHT, model));
             };
-            // The next copy goes where it takes most off each copy; by the whole demand
-            // alone the busiest model would get one after the other while a model with
-            // a single overloaded copy waits.
-            let relief = work / (self.count(model) + 1) as f64;
-            (least > BUSY).then_some((relief, model))
+            // The next copy goes where it relieves each copy most. By total demand alone
+            // the busiest model would get copy after copy while a model with a single
+            // overloaded copy waits.
+            let relief = work / (self.copy_count(model) + 1) as f64;
+            (lowest_load > EXTRA_COPY_LOAD).then_some((relief, model))
         });
-        pressed.collect()
+        needed.collect()
     }
 
-    /// Whether a runner can have a model back from its own disk within a second.
-    fn is_stored(&self, model: &id::Model) -> bool {
+    /// Whether a runner can load a model from its own disk or host memory within a
+    /// second.
+    fn is_stored_locally(&self, model: &id::Model) -> bool {
         let mut ready = self.runners.values().filter(|runner| runner.ready);
         ready.any(|runner| runner.stored.contains(model) || runner.cached.contains(model))
     }
 
-    fn least_load(&self, model: &id::Model) -> Option<f64> {
+    fn lowest_copy_load(&self, model: &id::Model) -> Option<f64> {
         let copies = self.copies.get(model)?.iter();
-        copies.map(|place| self.load[*place]).reduce(f64::min)
+        copies.map(|index| self.loads[*index]).reduce(f64::min)
     }
 
-    fn place(&self, model: &'book id::Model) -> Option<Wish> {
+    fn place_copy(&self, model: &'planner id::Model) -> Option<Placement> {
         let weights = self.engine.models.get(model)?;
-        let present = self.least_load(model);
-        let idle = self.idle();
-        let options = idle.filter_map(|(place, name, runner)| {
-            let load = self.load[place];
+        let lowest_load = self.lowest_copy_load(model);
+        let idle = self.idle_runners();
+        let options = idle.filter_map(|(index, name, runner)| {
+            let load = self.loads[index];
             if runner.inventory.models().contains(model) {
                 return None;
             }
-            let (time, counted) = runner.load_time(model, weights);
-            if counted && !self.store_open {
+            let (time, from_store) = runner.load_time(model, weights);
+            if from_store && !self.store_available {
                 return None;
             }
-            if present.is_some_and(|present| load > present * RELIEF) {
+            if lowest_load.is_some_and(|lowest_load| load > lowest_load * MAX_RELATIVE_LOAD) {
                 return None;
             }
-            let free = self.free[place];
-            let room = free >= weights.size.0;
-            let victim = if room {
+            let free = self.free_memory[index];
+            let fits = free >= weights.size.0;
+            let evicted = if fits {
                 None
             } else {
-                Some(self.victim(name, runner, free, model)?)
+                Some(self.eviction_candidate(name, runner, free, model)?)
             };
-            // A second of load time weighs as much as a tenth of a runner's time, and so
-            // does what the other copies of the victim have to take over.
-            let missed = victim.map_or(0.0, |victim| self.loss(victim).min(MOST_MISSED));
-            let cost = load + time.as_secs_f64() * 0.1 + missed;
-            Some((cost, name, victim))
+            // A second of load time weighs as much as a tenth of a runner's time; so does
+            // the work that the other copies of the evicted model have to take over.
+            let loss = evicted.map_or(0.0, |evicted| {
+                self.eviction_loss(evicted).min(MAX_EVICTION_LOSS)
+            });
+            let cost = load + time.as_secs_f64() * 0.1 + loss;
+            Some((cost, name, evicted))
         });
         let best = options.min_by(|left, right| left.0.total_cmp(&right.0));
-        let (_, name, victim) = best?;
-        Some(Wish {
+        let (_, name, evicted) = best?;
+        Some(Placement {
             endpoint: name.clone(),
             load: model.clone(),
-            victim: victim.cloned(),
+            evict: evicted.cloned(),
         })
     }
 
-    /// The model at a runner whose copy is missed least, if `coming` is worth more.
+    /// The model at a runner whose eviction costs least, if `incoming` is worth more.
     ///
-    /// The last copy of a model goes only if nobody asked for it of late and the runner
-    /// keeps it on its disk, from where it is back within a second. Half of all models
-    /// are asked for by nobody at a time; each copy of them that is kept is one that a
-    /// model lacks whose callers are refused.
-    fn victim(
+    /// The last copy of a model is evicted only if the model had no recent requests and
+    /// the runner keeps it on its disk, from where it can be loaded within a second. Half
+    /// of all models have no requests at any time; each copy of them that is kept is
+    /// missing for a model whose callers are refused.
+    fn eviction_candidate(
         &self,
         name: &id::Endpoint,
-        runner: &'book runner::Runner,
+        runner: &'planner runner::Runner,
         free: u64,
-        coming: &id::Model,
-    ) -> Option<&'book id::Model> {
-        let gain = self.gain(coming);
-        let fitting = self.fitting(runner, free, coming).filter(|model| {
-            let returns = runner.stored.contains(*model) && self.work(model) < IDLE;
-            returns || self.count_elsewhere(name, model) > 0
+        incoming: &id::Model,
+    ) -> Option<&'planner id::Model> {
+        let gain = self.copy_gain(incoming);
+        let candidates = self
+            .sufficient_evictions(runner, free, incoming)
+            .filter(|model| {
+                let can_reload = runner.stored.contains(*model) && self.work(model) < MAX_IDLE_WORK;
+                can_reload || self.confirmed_elsewhere(name, model) > 0
+            });
+        let cheapest = candidates.min_by(|left, right| {
+            self.eviction_loss(left)
+                .total_cmp(&self.eviction_loss(right))
         });
-        let cheapest = fitting.min_by(|left, right| self.loss(left).total_cmp(&self.loss(right)));
-        cheapest.filter(|model| self.loss(model) < gain * WORTH)
+        cheapest.filter(|model| self.eviction_loss(model) < gain * MAX_LOSS_PER_GAIN)
     }
 
-    /// Models at a runner of which any makes room enough for the one that comes.
-    fn fitting(
+    /// Models at a runner each of which frees enough memory for the incoming one.
+    fn sufficient_evictions(
         &self,
-        runner: &'book runner::Runner,
+        runner: &'planner runner::Runner,
         free: u64,
-        coming: &id::Model,
-    ) -> impl Iterator<Item = &'book id::Model> {
-        let coming = self.engine.models.get(coming);
-        let needed = coming.map_or(u64::MAX, |weights| weights.size.0);
+        incoming: &id::Model,
+    ) -> impl Iterator<Item = &'planner id::Model> {
+        let weights = self.engine.models.get(incoming);
+        let needed = weights.map_or(u64::MAX, |weights| weights.size.0);
         let models = runner.inventory.models().iter();
-        models.filter(move |model| free + self.engine.size(model) >= needed)
+        models.filter(move |model| free + self.engine.model_size(model) >= needed)
     }
 
-    /// Confirmed copies at other runners.
-    fn count_elsewhere(&self, name: &id::Endpoint, model: &id::Model) -> usize {
+    /// Number of confirmed copies at other runners.
+    fn confirmed_elsewhere(&self, name: &id::Endpoint, model: &id::Model) -> usize {
         let runner = self.runners.get(name);
-        let here = runner.is_some_and(|runner| runner.serves(model));
-        let all = self.confirmed.get(model).copied().unwrap_or_default();
-        all - usize::from(here)
+        let serves_here = runner.is_some_and(|runner| runner.serves(model));
+        let total = self
+            .confirmed_copies
+            .get(model)
+            .copied()
+            .unwrap_or_default();
+        total - usize::from(serves_here)
     }
 
     fn work(&self, model: &id::Model) -> f64 {
@@ -352,19 +380,19 @@
     }
 
     /// Work that one more copy takes off each of the others.
-    fn gain(&self, model: &id::Model) -> f64 {
+    fn copy_gain(&self, model: &id::Model) -> f64 {
         let work = self.work(model);
-        match self.count(model) {
+        match self.copy_count(model) {
             0 => f64::MAX,
             copies => work / (copies * (copies + 1)) as f64,
         }
     }
 
-    /// Work that one copy less puts on each of the others.
-    fn loss(&self, model: &id::Model) -> f64 {
+    /// Work that one copy less adds to each of the others.
+    fn eviction_loss(&self, model: &id::Model) -> f64 {
         let work = self.work(model);
-        match self.count(model) {
-            0 | 1 if work < IDLE => RETURN + work * RETURN_TIMES,
+        match self.copy_count(model) {
+            0 | 1 if work < MAX_IDLE_WORK => RELOAD_COST + work * RELOAD_COST_PER_WORK,
             0 | 1 => f64::MAX,
             copies => work / (copies * (copies - 1)) as f64,
         }
--- a/crates/cranberrygap-placement/src/residency/runner.rs
+++ b/crates/cranberrygap-placement/src/residency/runner.rs
@@ -1,4 +1,4 @@
-//! One runner as the leader knows it.
+//! State of one runner as the leader knows it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -15,88 +15,89 @@
 /// A change of the models at a runner, step by step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Move {
-    /// Entries are told to send no more work for `victim`.
+    /// The entries are told to send no more requests for `victim`.
     Retiring {
-        /// What goes.
+        /// The model that is evicted.
         victim: id::Model,
-        /// What comes after it.
+        /// The model that is loaded afterwards.
         load: Option<id::Model>,
-        /// When the entries were told, once they were.
+        /// When the entries were told, if they were.
         told: Option<duration::Instant>,
     },
-    /// The runner drops `victim`.
+    /// The runner unloads `victim`.
     Unloading {
-        /// What goes.
+        /// The model that is evicted.
         victim: id::Model,
-        /// What comes after it.
+        /// The model that is loaded afterwards.
         load: Option<id::Model>,
     },
-    /// The runner loads this.
+    /// The runner loads this model.
     Loading(id::Model),
 }
 
-/// An order that has no answer yet.
+/// An order that was sent and has no answer yet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Sent {
+pub struct InFlight {
     /// The order.
     pub order: order::Order,
-    /// When it was sent last.
-    pub at: duration::Instant,
-    /// Announcement that came last before it was sent first.
-    pub after: number::Sequence,
+    /// When it was last sent.
+    pub sent_at: duration::Instant,
+    /// Sequence number of the last announcement before the order was first sent.
+    pub sequence_before: number::Sequence,
     /// Whether it was sent more than once.
-    pub repeated: bool,
+    pub resent: bool,
 }
 
-/// A model order that the runner carries out.
+/// A model order that the runner executes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Carried {
-    /// What it does.
+pub struct Execution {
+    /// The action of the order.
     pub action: order::Action,
-    /// When it should be done.
-    pub due: duration::Instant,
-    /// Announcement that came last before it was ordered; only a later one can
-    /// tell that it is done.
-    pub after: number::Sequence,
+    /// When the execution should be done.
+    pub due_at: duration::Instant,
+    /// Sequence number of the last announcement before the order; only a later one can
+    /// show the result.
+    pub sequence_before: number::Sequence,
 }
 
-/// One runner.
+/// State of one runner.
 #[derive(Debug, Clone)]
 pub struct Runner {
-    /// Its process.
+    /// The runner process.
     pub boot: number::Boot,
-    /// Where it listens.
+    /// Address of the runner.
     pub address: address::Socket,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: id::Service,
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub ready: bool,
-    /// Latest announcement.
+    /// Sequence number of the latest announcement.
     pub sequence: number::Sequence,
-    /// Models that it holds by its latest announcement.
+    /// Models in its latest announcement.
     pub announced: BTreeSet<id::Model>,
-    /// What takes room.
+    /// What occupies its memory and adapter slots.
     pub inventory: inventory::Inventory,
-    /// Models of which its host memory holds a copy.
+    /// Models with a copy in its host memory.
     pub cached: BTreeSet<id::Model>,
-    /// Models of which its disk holds a copy.
+    /// Models with a copy on its disk.
     pub stored: BTreeSet<id::Model>,
-    /// Asked for a report that has not come.
-    pub asked: Option<duration::Instant>,
-    /// An order without an answer.
-    pub sent: Option<Sent>,
-    /// A model order under way at the runner.
-    pub carried: Option<Carried>,
-    /// A change of its models that is not finished.
+    /// When a report was requested that has not arrived.
+    pub report_requested_at: Option<duration::Instant>,
+    /// The order that has no answer yet.
+    pub in_flight: Option<InFlight>,
+    /// The model order that it executes.
+    pub execution: Option<Execution>,
+    /// The unfinished change of its models.
     pub moving: Option<Move>,
     /// Adapters to load next.
-    pub wanted: VecDeque<Adapter>,
-    /// No adapter order before this; the runner refused one while it was busy.
-    pub adapters_after: duration::Instant,
+    pub wanted_adapters: VecDeque<Adapter>,
+    /// Earliest time of the next adapter order; the runner rejected one while it was
+    /// busy.
+    pub adapter_orders_after: duration::Instant,
 }
 
 impl Runner {
-    /// Whether a model is there and stays for now.
+    /// Whether the runner serves a model and will keep it for now.
     #[must_use]
     pub fn serves(&self, model: &id::Model) -> bool {
         self.ready
@@ -104,7 +105,7 @@
             && self.outgoing_model() != Some(model)
     }
 
-    /// The model that is about to go.
+    /// The model that is about to be unloaded.
     #[must_use]
     pub const fn outgoing_model(&self) -> Option<&id::Model> {
         match &self.moving {
@@ -113,9 +114,9 @@
         }
     }
 
-    /// The model that is on its way in.
+    /// The model that is about to be loaded.
     #[must_use]
-    pub const fn coming(&self) -> Option<&id::Model> {
+    pub const fn incoming_model(&self) -> Option<&id::Model> {
         match &self.moving {
             Some(Move::Retiring { load, .. } | Move::Unloading { load, .. }) => load.as_ref(),
             Some(Move::Loading(model)) => Some(model),
@@ -123,55 +124,59 @@
         }
     }
 
-    /// The model that comes or goes by an order that it has or may have.
+    /// The model that an in-flight or executing order loads or unloads.
     #[must_use]
-    pub fn under_way(&self) -> Option<&id::Model> {
-        let sent = self.sent.as_ref().map(|sent| &sent.order.action);
-        let carried = self.carried.as_ref().map(|carried| &carried.action);
-        match carried.or(sent)? {
+    pub fn model_in_progress(&self) -> Option<&id::Model> {
+        let in_flight = self
+            .in_flight
+            .as_ref()
+            .map(|in_flight| &in_flight.order.action);
+        let execution = self.execution.as_ref().map(|execution| &execution.action);
+        match execution.or(in_flight)? {
             order::Action::Load(model) | order::Action::Unload(model) => Some(model),
             order::Action::LoadAdapter(..) | order::Action::UnloadAdapter(..) => None,
         }
     }
 
-    /// Whether its latest announcement differs from what is known by count. A report may
-    /// be older than the announcement, so that it settles nothing while this lasts.
+    /// Whether its latest announcement differs from the inventory while no order is open.
+    /// A report may be older than the announcement, so it decides nothing while this
+    /// lasts.
     #[must_use]
-    pub fn is_disputed(&self) -> bool {
-        let idle = self.carried.is_none() && self.sent.is_none();
-        idle && self.inventory.is_reported() && self.announced != *self.inventory.models()
+    pub fn has_conflicting_announcement(&self) -> bool {
+        let idle = self.execution.is_none() && self.in_flight.is_none();
+        idle && self.inventory.has_report() && self.announced != *self.inventory.models()
     }
 
-    /// Models that it will serve once what was begun is done.
-    pub fn settled(&self) -> impl Iterator<Item = &id::Model> {
-        let leaving = self.outgoing_model();
+    /// Models that it serves once the moves under way are done.
+    pub fn future_models(&self) -> impl Iterator<Item = &id::Model> {
+        let outgoing = self.outgoing_model();
         let stay = self
             .inventory
             .models()
             .iter()
-            .filter(move |model| Some(*model) != leaving);
-        let coming = self
-            .coming()
+            .filter(move |model| Some(*model) != outgoing);
+        let incoming = self
+            .incoming_model()
             .filter(|model| !self.inventory.models().contains(model.as_str()));
-        stay.chain(coming)
+        stay.chain(incoming)
     }
 
-    /// Memory that is free once what was begun is done.
+    /// Free memory in bytes once the moves under way are done.
     #[must_use]
-    pub fn free(&self, engine: &engine::Engine) -> u64 {
+    pub fn free_memory(&self, engine: &engine::Engine) -> u64 {
         let adapters = self.inventory.adapters().keys().map(|(model, _)| model);
-        let taken = engine.taken(self.settled(), adapters);
-        engine.memory.0.saturating_sub(taken)
+        let used = engine.memory_used(self.future_models(), adapters);
+        engine.memory.0.saturating_sub(used)
     }
 
     /// Whether a move of its models may begin.
     #[must_use]
     pub const fn is_idle(&self) -> bool {
-        let free = self.moving.is_none() && self.carried.is_none();
-        self.ready && free && self.inventory.count().is_some()
+        let unoccupied = self.moving.is_none() && self.execution.is_none();
+        self.ready && unoccupied && self.inventory.accepted_count().is_some()
     }
 
-    /// Time that a load of `model` takes here, and whether the store counts it.
+    /// Time of a load of `model` here, and whether it counts against the store's rate.
     #[must_use]
     pub fn load_time(
         &self,
--- a/crates/cranberrygap-placement/tests/residency_room.rs
+++ b/crates/cranberrygap-placement/tests/residency_room.rs
@@ -1,4 +1,4 @@
-//! No order for more than a runner has room for, whatever its news come in what order.
+//! No order exceeds a runner's capacity, in whatever order its messages arrive.
 
 use std::collections::BTreeMap;
 
@@ -35,8 +35,8 @@
     }
 }
 
-/// Runners with room for two models of 10 GiB and two adapters.
-fn room(models: &[&str]) -> engine::Engine {
+/// Runners with capacity for two models of 10 GiB and two adapters.
+fn engine_with(models: &[&str]) -> engine::Engine {
     engine::Engine {
         memory: size::Bytes(21 * GIB),
         adapter_slots: 2,
@@ -46,8 +46,8 @@
     }
 }
 
-/// What `r1` announces: models, and adapters as `model/adapter`.
-fn announced(sequence: u64, held: &[&str]) -> endpoint::Announcement {
+/// An announcement of `r1` with models, and adapters as `model/adapter`.
+fn announcement(sequence: u64, held: &[&str]) -> endpoint::Announcement {
     let resident: Vec<serde_json::Value> = held
         .iter()
         .map(|model| serde_json::json!({ "model": model, "size": "0B" }))
@@ -61,12 +61,16 @@
     serde_json::from_value(text).expect("an announcement")
 }
 
-fn follow(book: &mut planner::Planner, now: u64, found: &endpoint::Announcement) {
-    let all = std::iter::once((found, view::Health::Ready));
-    book.update_endpoints(at(now), all, |_| None);
+fn update_endpoints(
+    planner: &mut planner::Planner,
+    now: u64,
+    announcement: &endpoint::Announcement,
+) {
+    let all = std::iter::once((announcement, view::Health::Ready));
+    planner.update_endpoints(at(now), all, |_| None);
 }
 
-/// What `r1` reports while it is idle.
+/// A report of `r1` while it is idle.
 fn report(accepted: u64, models: &[&str], adapters: &[&str]) -> order::Report {
     order::Report {
         boot: None,
@@ -77,24 +81,24 @@
     }
 }
 
-/// The book of a leader that may order after 100 ms.
-fn opened(models: &[&str]) -> planner::Planner {
+/// The planner of a leader that may order after 100 ms.
+fn new_planner(models: &[&str]) -> planner::Planner {
     let service = "lm".parse().expect("a name");
     let wait = duration::Span::from_millis(100);
-    planner::Planner::new(service, room(models), at(0), wait)
+    planner::Planner::new(service, engine_with(models), at(0), wait)
 }
 
-/// A book that has `r1`'s announcement, and its report at 20 ms.
-fn reported(models: &[&str], found: &[&str], report: &order::Report) -> planner::Planner {
-    let mut book = opened(models);
-    follow(&mut book, 0, &announced(1, found));
-    book.tick(at(10));
-    book.handle_report(at(20), &name("r1"), report);
-    book
+/// A planner that has `r1`'s announcement, and its report at 20 ms.
+fn reported_planner(models: &[&str], held: &[&str], report: &order::Report) -> planner::Planner {
+    let mut planner = new_planner(models);
+    update_endpoints(&mut planner, 0, &announcement(1, held));
+    planner.tick(at(10));
+    planner.handle_report(at(20), &name("r1"), report);
+    planner
 }
 
-fn want(book: &mut planner::Planner, now: u64, ticket: u64, text: &str) {
-    book.request_adapter(at(now), ticket, &adapter(text), &name("r1"), false);
+fn request_adapter(planner: &mut planner::Planner, now: u64, ticket: u64, text: &str) {
+    planner.request_adapter(at(now), ticket, &adapter(text), &name("r1"), false);
 }
 
 fn demand(rates: &[(&str, f64)]) -> BTreeMap<id::Model, f64> {
@@ -102,9 +106,9 @@
     rates.map(|(text, load)| (model(text), *load)).collect()
 }
 
-/// Orders that are due at a time.
-fn orders(book: &mut planner::Planner, now: u64) -> Vec<order::Order> {
-    let outputs = book.tick(at(now)).into_iter();
+/// Orders that are due at `now`.
+fn orders(planner: &mut planner::Planner, now: u64) -> Vec<order::Order> {
+    let outputs = planner.tick(at(now)).into_iter();
     let orders = outputs.filter_map(|output| match output {
         planner::Output::Send(order) => Some(order),
         _ => None,
@@ -119,224 +123,229 @@
     )
 }
 
-/// Orders of the ten seconds after a time, as text.
-fn actions_after(book: &mut planner::Planner, now: u64) -> Vec<String> {
-    let looks = (0..100).map(|look| now + look * 100);
-    let due = looks.flat_map(|now| orders(book, now));
+/// Actions of the orders in the ten seconds after `now`.
+fn actions_within_ten_seconds(planner: &mut planner::Planner, now: u64) -> Vec<String> {
+    let ticks = (0..100).map(|tick| now + tick * 100);
+    let due = ticks.flat_map(|now| orders(planner, now));
     due.map(|order| order.action.to_string()).collect()
 }
 
-/// Orders one thing at a time and lets the runner answer it.
-fn order_and_answer(book: &mut planner::Planner, now: u64, verdict: order::Verdict) -> String {
-    let sent = orders(book, now);
+/// Sends one order and lets the runner answer it; returns the order's action.
+fn order_and_answer(planner: &mut planner::Planner, now: u64, verdict: order::Verdict) -> String {
+    let sent = orders(planner, now);
     let [sent] = sent.as_slice() else {
         panic!("one order, not {sent:?}");
     };
-    book.handle_verdict(at(now + 4), &name("r1"), sent.number, verdict);
+    planner.handle_verdict(at(now + 4), &name("r1"), sent.number, verdict);
     sent.action.to_string()
 }
 
-// A load has ended and a new leader's question was answered with it. The announcement that
-// the runner made just before is late; taken for the latest word, it frees a place that is
-// taken.
+// A load has ended and a new leader has a report of it. An announcement made just before
+// arrives late; if it were applied, it would free memory that is taken.
 #[test]
-fn older_announcement_frees_no_room_that_a_report_took() {
-    let mut book = reported(&["a", "b", "c"], &["a"], &report(3, &["a", "b"], &[]));
-    book.set_demand(at(30), demand(&[("c", 0.9)]));
+fn older_announcement_frees_no_memory_shown_by_a_report() {
+    let mut planner = reported_planner(&["a", "b", "c"], &["a"], &report(3, &["a", "b"], &[]));
+    planner.set_demand(at(30), demand(&[("c", 0.9)]));
 
-    // Its adapter makes it news though its models are not.
-    follow(&mut book, 500, &announced(2, &["a", "a/a1"]));
-    let ordered = actions_after(&mut book, 600);
+    // The adapter makes the announcement differ although its models don't.
+    update_endpoints(&mut planner, 500, &announcement(2, &["a", "a/a1"]));
+    let ordered = actions_within_ten_seconds(&mut planner, 600);
 
     assert_eq!(ordered, Vec::<String>::new());
 }
 
-// The announcement of a load's end does not come, so the runner is asked; what comes then
-// is an announcement of the time before.
+// The announcement of a load's end is lost, so the runner is asked for a report; then an
+// announcement from before the load arrives.
 #[test]
-fn older_announcement_frees_no_room_that_an_overdue_load_took() {
-    let mut book = reported(&["a", "b", "c"], &["a"], &report(0, &["a"], &[]));
-    book.set_demand(at(30), demand(&[("b", 0.9)]));
-    let loaded = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
-    book.handle_report(at(6_000), &name("r1"), &report(1, &["a", "b"], &[]));
-    book.set_demand(at(6_010), demand(&[("c", 0.9)]));
+fn older_announcement_frees_no_memory_of_an_overdue_load() {
+    let mut planner = reported_planner(&["a", "b", "c"], &["a"], &report(0, &["a"], &[]));
+    planner.set_demand(at(30), demand(&[("b", 0.9)]));
+    let loaded = order_and_answer(&mut planner, 1_000, order::Verdict::Accepted);
+    planner.handle_report(at(6_000), &name("r1"), &report(1, &["a", "b"], &[]));
+    planner.set_demand(at(6_010), demand(&[("c", 0.9)]));
 
-    follow(&mut book, 6_100, &announced(2, &["a", "a/a1"]));
-    let ordered = actions_after(&mut book, 6_200);
+    update_endpoints(&mut planner, 6_100, &announcement(2, &["a", "a/a1"]));
+    let ordered = actions_within_ten_seconds(&mut planner, 6_200);
 
     assert_eq!(loaded, "load b");
     assert_eq!(ordered, Vec::<String>::new());
 }
 
-// An announcement from before a model came lists none of its adapters. They fill all places.
+// An announcement from before a model was loaded lists none of its adapters, which fill
+// all slots.
 #[test]
-fn older_announcement_frees_no_adapter_places() {
+fn older_announcement_frees_no_adapter_slots() {
     let held = report(5, &["a", "b"], &["b/b1", "b/b2"]);
-    let mut book = reported(&["a", "b"], &["a"], &held);
-    let mut older = announced(2, &["a", "a/a0"]);
-    // On the disk, where it is near enough to need no load.
+    let mut planner = reported_planner(&["a", "b"], &["a"], &held);
+    let mut older = announcement(2, &["a", "a/a0"]);
+    // On disk, so that no load from the store is needed.
     if let Some(details) = &mut older.details {
         details.stored = vec![model("b")];
     }
 
-    follow(&mut book, 500, &older);
-    want(&mut book, 600, 1, "a/a1");
-    let ordered = orders(&mut book, 600);
+    update_endpoints(&mut planner, 500, &older);
+    request_adapter(&mut planner, 600, 1, "a/a1");
+    let ordered = orders(&mut planner, 600);
 
     assert!(!ordered.iter().any(is_load), "{ordered:?}");
 }
 
-// A request still uses the adapter, so the runner answers that it will drop it. Until the
-// request ends all places are taken.
+// A request still uses the adapter, so the runner answers that it will unload it later.
+// All slots are taken until the request ends.
 #[test]
-fn adapter_that_is_being_dropped_keeps_its_place() {
+fn draining_adapter_keeps_its_slot() {
     let held = report(0, &["m"], &["m/a1", "m/a2"]);
-    let mut book = reported(&["m"], &["m", "m/a1", "m/a2"], &held);
-    want(&mut book, 5_000, 1, "m/a3");
-    let dropped = order_and_answer(&mut book, 5_000, order::Verdict::Accepted);
+    let mut planner = reported_planner(&["m"], &["m", "m/a1", "m/a2"], &held);
+    request_adapter(&mut planner, 5_000, 1, "m/a3");
+    let evicted = order_and_answer(&mut planner, 5_000, order::Verdict::Accepted);
 
-    let ordered = orders(&mut book, 5_010);
+    let ordered = orders(&mut planner, 5_010);
 
-    assert!(dropped.starts_with("unload m/"), "{dropped}");
+    assert!(evicted.starts_with("unload m/"), "{evicted}");
     assert!(!ordered.iter().any(is_load), "{ordered:?}");
 }
 
-// An entry was told that an adapter is missing before its load was taken. The answer to
-// another order comes after its word; the adapter is there all the same.
+// A runner said that it lacks an adapter before it accepted the adapter's load. The
+// answer to another order arrives afterwards; the adapter is resident all the same.
 #[test]
-fn adapter_said_to_be_missing_keeps_its_place_until_a_report() {
-    let mut book = reported(&["m"], &["m"], &report(0, &["m"], &[]));
-    want(&mut book, 1_000, 1, "m/a1");
-    let first = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
-    want(&mut book, 1_010, 2, "m/a2");
-    let second = orders(&mut book, 1_010);
-    book.request_adapter(at(1_012), 3, &adapter("m/a1"), &name("r1"), true);
+fn adapter_reported_missing_keeps_its_slot_until_a_report() {
+    let mut planner = reported_planner(&["m"], &["m"], &report(0, &["m"], &[]));
+    request_adapter(&mut planner, 1_000, 1, "m/a1");
+    let first = order_and_answer(&mut planner, 1_000, order::Verdict::Accepted);
+    request_adapter(&mut planner, 1_010, 2, "m/a2");
+    let second = orders(&mut planner, 1_010);
+    planner.request_adapter(at(1_012), 3, &adapter("m/a1"), &name("r1"), true);
     let accepted = order::Verdict::Accepted;
-    book.handle_verdict(at(1_014), &name("r1"), second[0].number, accepted);
+    planner.handle_verdict(at(1_014), &name("r1"), second[0].number, accepted);
 
-    want(&mut book, 1_020, 4, "m/a3");
-    let ordered = orders(&mut book, 1_020);
+    request_adapter(&mut planner, 1_020, 4, "m/a3");
+    let ordered = orders(&mut planner, 1_020);
 
     assert_eq!(first, "load m/a1");
     assert_eq!(second[0].action.to_string(), "load m/a2");
     assert!(!ordered.iter().any(is_load), "{ordered:?}");
 }
 
-// An order of the leader before brought adapters while a load was overdue here. The report
-// that settles the load tells of them beside the count.
+// An order of the previous leader loaded adapters while a load of this leader was
+// overdue. The report that ends the load also lists them.
 #[test]
-fn report_on_an_overdue_order_tells_of_adapters_too() {
-    let mut book = reported(&["a", "b"], &["a"], &report(0, &["a"], &[]));
-    book.set_demand(at(30), demand(&[("b", 0.9)]));
-    let loaded = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
+fn report_after_an_overdue_load_updates_adapters() {
+    let mut planner = reported_planner(&["a", "b"], &["a"], &report(0, &["a"], &[]));
+    planner.set_demand(at(30), demand(&[("b", 0.9)]));
+    let loaded = order_and_answer(&mut planner, 1_000, order::Verdict::Accepted);
     let later = report(3, &["a", "b"], &["a/a1", "a/a2"]);
-    book.handle_report(at(6_000), &name("r1"), &later);
+    planner.handle_report(at(6_000), &name("r1"), &later);
 
-    want(&mut book, 6_100, 1, "a/a3");
-    let ordered = orders(&mut book, 6_100);
+    request_adapter(&mut planner, 6_100, 1, "a/a3");
+    let ordered = orders(&mut planner, 6_100);
 
     assert_eq!(loaded, "load b");
     assert!(!ordered.iter().any(is_load), "{ordered:?}");
 }
 
-// A runner ended the load that it was ordered, and now carries out one of the leader before.
-// The count of its report includes that order; its models do not yet.
+// A runner finished its load and now executes one of the previous leader. The count in
+// its report includes that order, but its models don't yet.
 #[test]
 fn report_of_a_busy_runner_sets_no_count() {
-    let mut book = reported(&["a", "b", "c", "x"], &[], &report(0, &[], &[]));
-    book.set_demand(at(30), demand(&[("b", 0.9)]));
-    let loaded = order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
-    // The count is to be asked for; the runner has ended the load and begun another.
-    book.request_adapter(at(4_500), 1, &adapter("b/b1"), &name("r1"), true);
+    let mut planner = reported_planner(&["a", "b", "c", "x"], &[], &report(0, &[], &[]));
+    planner.set_demand(at(30), demand(&[("b", 0.9)]));
+    let loaded = order_and_answer(&mut planner, 1_000, order::Verdict::Accepted);
+    // The count must be requested; the runner has finished the load and begun another.
+    planner.request_adapter(at(4_500), 1, &adapter("b/b1"), &name("r1"), true);
     let busy = order::Report {
         busy: true,
         ..report(2, &["b"], &[])
     };
-    book.handle_report(at(4_600), &name("r1"), &busy);
-    follow(&mut book, 4_700, &announced(2, &["b"]));
-    book.set_demand(at(4_710), demand(&[("b", 0.1), ("c", 0.9)]));
+    planner.handle_report(at(4_600), &name("r1"), &busy);
+    update_endpoints(&mut planner, 4_700, &announcement(2, &["b"]));
+    planner.set_demand(at(4_710), demand(&[("b", 0.1), ("c", 0.9)]));
 
-    // By now the other load has ended, and its announcement is late: c would be the third.
-    let ordered = actions_after(&mut book, 8_500);
+    // By now the other load has ended, and its announcement is late: c would be the third
+    // model.
+    let ordered = actions_within_ten_seconds(&mut planner, 8_500);
 
     assert_eq!(loaded, "load b");
     assert_eq!(ordered, Vec::<String>::new());
 }
 
-// A plan no longer lists a model that is still there. Its adapters take what they took.
+// A plan no longer lists a model that is still resident. Its adapters take the same
+// memory as before.
 #[test]
 fn adapters_of_a_model_that_left_the_plan_take_memory() {
     let held = report(2, &["a", "old"], &["old/o1"]);
-    let mut book = reported(&["a", "old", "c"], &["a", "old", "old/o1"], &held);
-    let mut tight = room(&["a", "c"]);
-    tight.adapter_slots = 4;
-    tight.memory = size::Bytes(20 * GIB + (1 << 20));
+    let mut planner = reported_planner(&["a", "old", "c"], &["a", "old", "old/o1"], &held);
+    let mut full_engine = engine_with(&["a", "c"]);
+    full_engine.adapter_slots = 4;
+    full_engine.memory = size::Bytes(20 * GIB + (1 << 20));
 
-    book.set_engine(at(500), tight);
-    want(&mut book, 600, 1, "a/a1");
-    let ordered = orders(&mut book, 600);
+    planner.set_engine(at(500), full_engine);
+    request_adapter(&mut planner, 600, 1, "a/a1");
+    let ordered = orders(&mut planner, 600);
 
     assert!(!ordered.iter().any(is_load), "{ordered:?}");
 }
 
-// A plan lists a model with a smaller size. The one that is there was loaded with the larger.
+// A plan lists a model with a smaller size, but the resident copy was loaded with the
+// larger one.
 #[test]
-fn model_takes_what_it_was_loaded_with() {
+fn model_takes_the_memory_it_was_loaded_with() {
     let held = report(1, &["a"], &[]);
-    let mut book = reported(&["a", "b"], &["a"], &held);
+    let mut planner = reported_planner(&["a", "b"], &["a"], &held);
     let smaller = engine::Weights {
         size: size::Bytes(4 * GIB),
         ..weights()
     };
-    let mut plan = room(&["a", "b"]);
+    let mut plan = engine_with(&["a", "b"]);
     plan.memory = size::Bytes(15 * GIB);
     plan.models.insert(model("a"), smaller);
 
-    book.set_engine(at(500), plan);
-    book.set_demand(at(510), demand(&[("b", 0.9)]));
-    let ordered = actions_after(&mut book, 600);
+    planner.set_engine(at(500), plan);
+    planner.set_demand(at(510), demand(&[("b", 0.9)]));
+    let ordered = actions_within_ten_seconds(&mut planner, 600);
 
     assert!(!ordered.contains(&"load b".to_owned()), "{ordered:?}");
 }
 
-// An announcement may be older than what is known, or tell of an order of the leader before.
-// Which of both it is, only the runner can say.
+// An announcement may be outdated, or show an order of the previous leader. Only the
+// runner can tell which.
 #[test]
-fn runner_whose_announcement_differs_is_asked() {
-    let mut book = reported(&["a", "b", "c"], &["a", "b"], &report(3, &["a", "b"], &[]));
-    book.tick(at(200));
+fn runner_with_a_differing_announcement_is_asked_for_a_report() {
+    let mut planner = reported_planner(&["a", "b", "c"], &["a", "b"], &report(3, &["a", "b"], &[]));
+    planner.tick(at(200));
 
-    follow(&mut book, 500, &announced(2, &["a", "c"]));
-    let asked = book.tick(at(600));
+    update_endpoints(&mut planner, 500, &announcement(2, &["a", "c"]));
+    let outputs = planner.tick(at(600));
 
     assert!(
-        asked.contains(&planner::Output::FetchReport(name("r1"))),
-        "{asked:?}"
+        outputs.contains(&planner::Output::FetchReport(name("r1"))),
+        "{outputs:?}"
     );
-    let differences = book.take_differences();
+    let differences = planner.take_differences();
     assert!(
-        differences.iter().any(|found| found.missing.contains("b")),
+        differences
+            .iter()
+            .any(|difference| difference.missing.contains("b")),
         "{differences:?}"
     );
 }
 
-// Two questions were under way. The answer to the first was made before the order that was
-// accepted since; the next order by its count would be turned down.
+// Two report requests were in flight. The answer to the first was made before an order
+// that has been accepted since; the next order with its count would be rejected.
 #[test]
-fn report_from_before_an_accepted_order_is_not_taken() {
-    let mut book = reported(&["m"], &["m"], &report(0, &["m"], &[]));
-    want(&mut book, 1_000, 1, "m/a1");
-    order_and_answer(&mut book, 1_000, order::Verdict::Accepted);
-    want(&mut book, 1_010, 2, "m/a2");
-    let refused = order_and_answer(&mut book, 1_010, order::Verdict::Conflict);
-
-    book.handle_report(at(1_100), &name("r1"), &report(0, &["m"], &[]));
-    let early = orders(&mut book, 1_800);
-    book.handle_report(at(2_700), &name("r1"), &report(1, &["m"], &["m/a1"]));
-    let later = orders(&mut book, 2_800);
+fn report_older_than_an_accepted_order_is_ignored() {
+    let mut planner = reported_planner(&["m"], &["m"], &report(0, &["m"], &[]));
+    request_adapter(&mut planner, 1_000, 1, "m/a1");
+    order_and_answer(&mut planner, 1_000, order::Verdict::Accepted);
+    request_adapter(&mut planner, 1_010, 2, "m/a2");
+    let refused = order_and_answer(&mut planner, 1_010, order::Verdict::Conflict);
+
+    planner.handle_report(at(1_100), &name("r1"), &report(0, &["m"], &[]));
+    let first_try = orders(&mut planner, 1_800);
+    planner.handle_report(at(2_700), &name("r1"), &report(1, &["m"], &["m/a1"]));
+    let later = orders(&mut planner, 2_800);
 
     assert_eq!(refused, "load m/a2");
-    assert_eq!(early, []);
+    assert_eq!(first_try, []);
     assert_eq!(
         later.first().map(|order| order.expected_count),
         Some(1),
@@ -344,146 +353,148 @@
     );
 }
 
-// The last request of an adapter that was to go has ended. The runner is asked while somebody
-// waits for its place, and gives that to the next.
+// The last request of a draining adapter has ended. The runner is asked while a request
+// waits for the slot, and the slot goes to that request.
 #[test]
-fn adapter_that_has_gone_makes_room() {
+fn slot_of_a_drained_adapter_is_reused() {
     let held = report(0, &["m"], &["m/a1", "m/a2"]);
-    let mut book = reported(&["m"], &["m", "m/a1", "m/a2"], &held);
-    want(&mut book, 5_000, 1, "m/a3");
-    let dropped = order_and_answer(&mut book, 5_000, order::Verdict::Accepted);
+    let mut planner = reported_planner(&["m"], &["m", "m/a1", "m/a2"], &held);
+    request_adapter(&mut planner, 5_000, 1, "m/a3");
+    let evicted = order_and_answer(&mut planner, 5_000, order::Verdict::Accepted);
 
-    let asked = book.tick(at(5_010));
+    let outputs = planner.tick(at(5_010));
     let kept = report(1, &["m"], &["m/a1", "m/a2"]);
-    book.handle_report(at(5_020), &name("r1"), &kept);
-    let early = orders(&mut book, 5_330);
-    book.handle_report(at(5_340), &name("r1"), &report(1, &["m"], &["m/a2"]));
-    let later = orders(&mut book, 5_350);
+    planner.handle_report(at(5_020), &name("r1"), &kept);
+    let first_try = orders(&mut planner, 5_330);
+    planner.handle_report(at(5_340), &name("r1"), &report(1, &["m"], &["m/a2"]));
+    let later = orders(&mut planner, 5_350);
 
-    assert_eq!(dropped, "unload m/a1");
+    assert_eq!(evicted, "unload m/a1");
     assert!(
-        asked.contains(&planner::Output::FetchReport(name("r1"))),
-        "{asked:?}"
+        outputs.contains(&planner::Output::FetchReport(name("r1"))),
+        "{outputs:?}"
     );
-    assert_eq!(early, []);
+    assert_eq!(first_try, []);
     let later: Vec<String> = later.iter().map(|order| order.action.to_string()).collect();
     assert_eq!(later, ["load m/a3"]);
 }
 
-// A report was asked for before the runner restarted under its name. Counts begin anew with
-// each process, so that one of the process before may be the same.
+// A report was requested before the runner restarted under the same name. Counts start
+// anew with each process, so a count of the earlier process may look valid.
 #[test]
-fn report_of_another_process_is_not_taken() {
-    let mut book = opened(&["a", "b", "c"]);
-    follow(&mut book, 0, &announced(1, &["a", "b"]));
-    book.tick(at(10));
+fn report_of_another_process_is_ignored() {
+    let mut planner = new_planner(&["a", "b", "c"]);
+    update_endpoints(&mut planner, 0, &announcement(1, &["a", "b"]));
+    planner.tick(at(10));
     let before = order::Report {
         boot: Some(number::Boot(7)),
         ..report(2, &[], &[])
     };
 
-    book.handle_report(at(20), &name("r1"), &before);
-    book.set_demand(at(30), demand(&[("c", 0.9)]));
-    let ordered = actions_after(&mut book, 200);
+    planner.handle_report(at(20), &name("r1"), &before);
+    planner.set_demand(at(30), demand(&[("c", 0.9)]));
+    let ordered = actions_within_ten_seconds(&mut planner, 200);
 
     assert_eq!(ordered, Vec::<String>::new());
 }
 
-// An order had no answer, then its runner restarted under its name. Its counts begin anew,
-// and the order may land seconds later, when the new process has that count.
+// An order got no answer, then its runner restarted under the same name. Counts start
+// anew, and the order may be delivered seconds later, when the new process reaches its
+// count.
 #[test]
-fn order_to_the_process_before_finds_room_if_it_lands() {
-    let mut book = reported(&["m"], &["m"], &report(2, &["m"], &[]));
-    want(&mut book, 1_000, 1, "m/a1");
-    let stray = orders(&mut book, 1_000);
-    let mut restarted = announced(1, &["m"]);
+fn stale_order_fits_when_it_is_accepted() {
+    let mut planner = reported_planner(&["m"], &["m"], &report(2, &["m"], &[]));
+    request_adapter(&mut planner, 1_000, 1, "m/a1");
+    let stale = orders(&mut planner, 1_000);
+    let mut restarted = announcement(1, &["m"]);
     restarted.boot = number::Boot(2);
-    follow(&mut book, 1_100, &restarted);
-    book.tick(at(1_110));
-    book.handle_report(at(1_120), &name("r1"), &report(0, &["m"], &[]));
-
-    let mut taken = Vec::new();
-    for (number, now) in (0..10).map(|look| (look, 1_200 + look * 100)) {
-        want(&mut book, now, 10 + number, &format!("m/b{number}"));
-        for order in orders(&mut book, now).into_iter().filter(is_load) {
-            book.handle_verdict(
+    update_endpoints(&mut planner, 1_100, &restarted);
+    planner.tick(at(1_110));
+    planner.handle_report(at(1_120), &name("r1"), &report(0, &["m"], &[]));
+
+    let mut accepted = Vec::new();
+    for (number, now) in (0..10).map(|tick| (tick, 1_200 + tick * 100)) {
+        request_adapter(&mut planner, now, 10 + number, &format!("m/b{number}"));
+        for order in orders(&mut planner, now).into_iter().filter(is_load) {
+            planner.handle_verdict(
                 at(now + 4),
                 &name("r1"),
                 order.number,
                 order::Verdict::Accepted,
             );
-            taken.push(order.expected_count);
+            accepted.push(order.expected_count);
         }
     }
 
-    // At count 2 both places would be taken.
-    assert_eq!(stray[0].expected_count, 2);
-    assert_eq!(taken, [0], "{taken:?}");
+    // At count 2 both slots would be taken.
+    assert_eq!(stale[0].expected_count, 2);
+    assert_eq!(accepted, [0], "{accepted:?}");
 }
 
-// A late order of the leader before took a model away, and the announcement of it is here.
-// The report that is asked for tells of the time before; without another question the model
-// would be taken for served for ever.
+// A delayed order of the previous leader unloaded a model, and its announcement has
+// arrived. The requested report is older than that; without another request the model
+// would count as served for ever.
 #[test]
 fn runner_is_asked_until_its_announcement_agrees() {
-    let mut book = reported(&["a", "b"], &["a", "b"], &report(3, &["a", "b"], &[]));
-    follow(&mut book, 500, &announced(2, &["a"]));
-    book.tick(at(600));
-    book.handle_report(at(610), &name("r1"), &report(3, &["a", "b"], &[]));
+    let mut planner = reported_planner(&["a", "b"], &["a", "b"], &report(3, &["a", "b"], &[]));
+    update_endpoints(&mut planner, 500, &announcement(2, &["a"]));
+    planner.tick(at(600));
+    planner.handle_report(at(610), &name("r1"), &report(3, &["a", "b"], &[]));
 
-    let again = book.tick(at(2_200));
-    book.handle_report(at(2_210), &name("r1"), &report(4, &["a"], &[]));
-    let settled = book.tick(at(4_000));
+    let again = planner.tick(at(2_200));
+    planner.handle_report(at(2_210), &name("r1"), &report(4, &["a"], &[]));
+    let settled = planner.tick(at(4_000));
 
     let ask = planner::Output::FetchReport(name("r1"));
     assert!(again.contains(&ask), "{again:?}");
     assert!(!settled.contains(&ask), "{settled:?}");
 }
 
-/// Times at which the book says what is to be told of `r1`, and orders, from a time on.
-fn told_and_ordered(book: &mut planner::Planner, now: u64) -> (usize, Vec<String>) {
-    let mut told = 0;
+/// Number of publications of `r1`'s residency and the orders that are due at `now`.
+fn publications_and_orders(planner: &mut planner::Planner, now: u64) -> (usize, Vec<String>) {
+    let mut published = 0;
     let mut ordered = Vec::new();
-    for output in book.tick(at(now)) {
+    for output in planner.tick(at(now)) {
         match output {
-            planner::Output::PublishResidency(_) => told += 1,
+            planner::Output::PublishResidency(_) => published += 1,
             planner::Output::Send(order) => ordered.push(order.action.to_string()),
             _ => {}
         }
     }
-    (told, ordered)
+    (published, ordered)
 }
 
-// What was told before a move began says nothing of its victim: entries that were not told
-// go on sending requests for it to a runner that drops it.
+// A residency published before a move began does not name the outgoing model: entries go
+// on sending requests for it to a runner that unloads it.
 #[test]
-fn word_of_before_a_move_does_not_let_it_go_on() {
-    let mut book = opened(&["hot", "spare", "cold"]);
-    let found = announced(1, &["spare", "cold"]);
-    let mut other = announced(1, &["hot", "spare"]);
-    other.endpoint = name("r2");
-    let both = [&found, &other].into_iter();
-    book.update_endpoints(
+fn residency_published_before_a_move_does_not_advance_it() {
+    let mut planner = new_planner(&["hot", "spare", "cold"]);
+    let first_runner = announcement(1, &["spare", "cold"]);
+    let mut second_runner = announcement(1, &["hot", "spare"]);
+    second_runner.endpoint = name("r2");
+    let both = [&first_runner, &second_runner].into_iter();
+    planner.update_endpoints(
         at(0),
-        both.map(|found| (found, view::Health::Ready)),
+        both.map(|announcement| (announcement, view::Health::Ready)),
         |_| None,
     );
-    book.tick(at(10));
-    book.handle_report(at(20), &name("r1"), &report(0, &["spare", "cold"], &[]));
-    let (first, _) = told_and_ordered(&mut book, 30);
-    book.set_demand(at(40), demand(&[("hot", 0.9)]));
-    let (second, _) = told_and_ordered(&mut book, 1_000);
-
-    // The first word is committed late; the second, which names the victim, never is.
-    let early = view::Residency {
+    planner.tick(at(10));
+    planner.handle_report(at(20), &name("r1"), &report(0, &["spare", "cold"], &[]));
+    let (first, _) = publications_and_orders(&mut planner, 30);
+    planner.set_demand(at(40), demand(&[("hot", 0.9)]));
+    let (second, _) = publications_and_orders(&mut planner, 1_000);
+
+    // The first residency is committed late; the second, which names the outgoing model,
+    // never is.
+    let outdated = view::Residency {
         endpoint: name("r1"),
         boot: number::Boot(1),
         retiring: Vec::new(),
         adapters: Vec::new(),
     };
-    book.confirm_residency(at(1_010), &early);
+    planner.confirm_residency(at(1_010), &outdated);
     let ordered: Vec<String> = (0..20)
-        .flat_map(|look| told_and_ordered(&mut book, 1_100 + look * 100).1)
+        .flat_map(|tick| publications_and_orders(&mut planner, 1_100 + tick * 100).1)
         .collect();
 
     assert_eq!((first, second), (1, 1));
