--- a/crates/cranberrygap-placement/src/catalogue.rs
+++ b/crates/cranberrygap-placement/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! What the weight store can load, and how models, adapters and versions relate.
+//! Loadable weights, and how models, adapters and versions relate.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,8 @@
 }
 
 impl Catalogue {
-    /// Reads the store's list; of the versions of one name the last is current.
+    /// Creates the catalogue from the weight store's list; the last version of a name is
+    /// current.
     #[must_use]
     pub fn new(list: &[endpoint::Weights]) -> Self {
         let mut catalogue = Self::default();
@@ -61,7 +62,7 @@
             .unwrap_or_default()
     }
 
-    /// Size of a base model with all of its adapters.
+    /// Size of a base model with all its adapters.
     #[must_use]
     pub fn footprint(&self, base: &id::Model) -> size::Bytes {
         let adapters = self.adapters(base).iter();
@@ -69,7 +70,7 @@
         size::Bytes(self.size(base).0 + extra)
     }
 
-    /// The version that takes the place of an old one.
+    /// The version that replaces an old one.
     #[must_use]
     pub fn successor(&self, model: &id::Model) -> Option<&id::Model> {
         self.successors.get(model)
--- a/crates/cranberrygap-placement/src/forecast.rs
+++ b/crates/cranberrygap-placement/src/forecast.rs
@@ -1,4 +1,4 @@
-//! Expected demand of each model from what was counted.
+//! Estimates each model's demand from counted requests.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 pub mod decayed;
 pub mod heat;
 
-/// Estimates demand; the implementations are compared by `measure policy`.
+/// Estimates demand per model.
 pub trait Estimator: Send + std::fmt::Debug {
     /// Counts `amount` of demand for a model at `now`.
     fn count(&mut self, now: duration::Instant, model: &id::Model, amount: f64);
-    /// Expected demand a second for each model at `now`.
+    /// Expected demand per second for each model at `now`.
     fn rates(&self, now: duration::Instant) -> BTreeMap<id::Model, f64>;
 }
--- a/crates/cranberrygap-placement/src/forecast/decayed.rs
+++ b/crates/cranberrygap-placement/src/forecast/decayed.rs
@@ -1,4 +1,4 @@
-//! A plain rate that decays exponentially.
+//! A rate with exponential decay.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::forecast;
 
-/// Demand a second, older demand weighted down by half every half-life.
+/// Demand per second; older demand loses half its weight every half-life.
 #[derive(Debug)]
 pub struct Decayed {
     half_life: duration::Span,
@@ -20,7 +20,7 @@
 }
 
 impl Decayed {
-    /// An estimator with the given half-life.
+    /// Creates an estimator with the given half-life.
     #[must_use]
     pub fn new(half_life: duration::Span) -> Self {
         Self {
--- a/crates/cranberrygap-placement/src/forecast/heat.rs
+++ b/crates/cranberrygap-placement/src/forecast/heat.rs
@@ -1,11 +1,10 @@
 //! Heat by average and recency-weighted frequency.
 //!
-//! After Ying Song, Qiang Zhang and Bo Wang, "FACHS: Adaptive Hybrid Storage
-//! Strategy Based on File Access Characteristics", IEEE Access 2023, section
-//! III-B: `H = (1 - beta) * I + beta * favg`, where `I` sums the frequencies of
-//! the cycle's periods with weight `1 / i`. The text wants the newest period to
-//! weigh most, so `i` counts back from it here, and the weights are scaled to a
-//! sum of one, so that `H` is a rate.
+//! After Ying Song, Qiang Zhang and Bo Wang, "FACHS: Adaptive Hybrid Storage Strategy
+//! Based on File Access Characteristics", IEEE Access 2023, section III-B: `H = (1 -
+//! beta) * I + beta * favg`, where `I` sums the frequencies of the cycle's periods with
+//! weight `1 / i`. The text wants the newest period to weigh most, so `i` counts back
+//! from it here, and the weights are scaled to a sum of one, so that `H` is a rate.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +12,7 @@
 
 use crate::forecast;
 
-/// Demand a second by the heat formula.
+/// Demand per second by the heat formula.
 #[derive(Debug)]
 pub struct Heat {
     period: duration::Span,
@@ -29,7 +28,7 @@
 }
 
 impl Heat {
-    /// An estimator over `periods` periods, `beta` being the average's weight.
+    /// Creates an estimator over `periods` periods; `beta` is the weight of the average.
     #[must_use]
     pub fn new(period: duration::Span, periods: usize, beta: f64) -> Self {
         Self {
@@ -48,7 +47,7 @@
         let mut average = 0.0;
         let mut recent = 0.0;
         for period in counts {
-            // The period under way is not complete; it would look like a drop.
+            // The current period is incomplete and would look like a drop in demand.
             let back = newest.saturating_sub(period.number);
             if back == 0 || back > self.periods as u64 {
                 continue;
@@ -72,7 +71,7 @@
             Some(last) if last.number == number => last.amount += amount,
             _ => counts.push_back(Period { number, amount }),
         }
-        // One more than the cycle has, for the period under way.
+        // One more than the cycle has, for the current period.
         while counts.len() > self.periods + 1 {
             counts.pop_front();
         }
--- a/crates/cranberrygap-placement/src/journal.rs
+++ b/crates/cranberrygap-placement/src/journal.rs
@@ -1,4 +1,4 @@
-//! The replicated part: which orders may still take effect.
+//! Replicated record of the orders that may still take effect.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use cranberrygap_wire::endpoint;
 use serde::{Deserialize, Serialize};
 
-/// Why an order can take effect no longer.
+/// Why an order can no longer take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
@@ -14,30 +14,30 @@
     Reported,
     /// The endpoint refused it for good.
     Refused,
-    /// The process that could have run it is gone; another boot answers.
+    /// The process that could have executed it is gone; another boot answers.
     Rebooted,
 }
 
 /// One entry of the replicated log about orders.
 ///
-/// [`Record::Opened`] comes first in each leader's time; once it is committed,
-/// the leader knows all orders of its predecessors.
+/// [`Record::Opened`] comes first in each leader's term; once it is committed, the leader
+/// knows all orders of its predecessors.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// A leader starts to give orders under this fence.
+    /// A leader starts to issue orders under this fence.
     Opened {
         /// Its fencing number, higher than all before.
         fence: number::Fence,
     },
-    /// An order is about to be sent; logged before the first byte goes out.
+    /// An order is about to be sent; logged before its first byte is sent.
     Intended {
-        /// The order, unchanged in all its sendings.
+        /// The order, unchanged whenever it is sent again.
         order: endpoint::Order,
     },
-    /// It is proven that an order can take effect no longer.
+    /// It is proven that an order can no longer take effect.
     Ended {
-        /// The order.
+        /// Id of the order.
         order: id::Order,
         /// Its endpoint.
         endpoint: id::Endpoint,
@@ -45,12 +45,12 @@
         boot: number::Boot,
         /// Residency number of the evidence; reports below it are outdated.
         residency: number::Sequence,
-        /// What proved it.
+        /// The evidence.
         evidence: Evidence,
     },
 }
 
-/// The newest evidence about an endpoint that reached the log.
+/// The newest evidence about an endpoint in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Floor {
     /// The boot that gave it.
@@ -59,11 +59,11 @@
     pub residency: number::Sequence,
 }
 
-/// All orders whose end is not proven. Grows and shrinks by [`Record`]s alone.
+/// All orders whose end is not proven; changed by [`Record`]s alone.
 ///
-/// A new leader may not have seen what its predecessor sent. One would notice
-/// by an endpoint that runs out of memory when a forgotten load lands. Each
-/// order therefore stands here before it is sent, in every replica.
+/// A new leader may not have seen what its predecessor sent, and an endpoint would run
+/// out of memory when a forgotten load arrives. So each order is recorded here, in every
+/// replica, before it is sent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Journal {
     /// Highest fence that was opened.
@@ -76,11 +76,11 @@
 }
 
 impl Journal {
-    /// Applies one committed record; tells whether it was taken.
+    /// Applies one committed record; returns whether it was accepted.
     ///
-    /// An intent of a leader that was deposed may be committed after its
-    /// successor opened the journal. The successor has counted without it, so
-    /// it is not taken, and never sent.
+    /// The intent of a deposed leader may be committed after its successor opened the
+    /// journal. The successor has counted without it, so it is not accepted and never
+    /// sent.
     pub fn apply(&mut self, record: &Record) -> bool {
         match record {
             Record::Opened { fence } => self.fence = self.fence.max(*fence),
@@ -97,14 +97,19 @@
             } => {
                 self.open.remove(order);
                 if *evidence != Evidence::Refused {
-                    self.raise(endpoint, *boot, *residency);
+                    self.raise_floor(endpoint, *boot, *residency);
                 }
             }
         }
         true
     }
 
-    fn raise(&mut self, endpoint: &id::Endpoint, boot: number::Boot, residency: number::Sequence) {
+    fn raise_floor(
+        &mut self,
+        endpoint: &id::Endpoint,
+        boot: number::Boot,
+        residency: number::Sequence,
+    ) {
         let known = self.floors.get(endpoint);
         let same = known.filter(|floor| floor.boot == boot);
         let residency = same.map_or(residency, |floor| floor.residency.max(residency));
--- a/crates/cranberrygap-placement/src/ledger.rs
+++ b/crates/cranberrygap-placement/src/ledger.rs
@@ -1,8 +1,7 @@
-//! What a leader knows of the endpoints' memory.
+//! A leader's account of the endpoints' memory.
 //!
-//! An endpoint's memory counts as taken by everything that is resident, by
-//! every load that may still take effect, and by the KV reserve. Nothing is
-//! taken off the books without evidence.
+//! The memory of an endpoint counts as committed for everything resident, for every load
+//! that may still take effect, and for the KV reserve. Nothing is freed without evidence.
 
 use std::collections::BTreeMap;
 
@@ -25,19 +24,19 @@
     reserve: size::Bytes,
 }
 
-/// The question for a report that an answer belongs to.
+/// Identifies the report request that a report answers.
 ///
-/// An abandoned question may be answered late, after newer ones, and its answer
-/// would bring an old resident list back. One would notice a model counted
-/// where it is no longer. Only the answer to the newest question is used; it
-/// was made after all answers used before it.
+/// An abandoned request may be answered late, after newer ones, and its answer would
+/// restore an old list of resident models, so that a model counts where it is gone. Only
+/// the answer to the newest request is used; it was made after all answers used before
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket(u64);
 
 impl Ledger {
-    /// A new leader's ledger, from the replicated journal.
+    /// Creates a new leader's ledger from the replicated journal.
     ///
-    /// `reserve` is the part of each endpoint's memory that is kept for KV cache.
+    /// `reserve` is the part of each endpoint's memory that is kept for the KV cache.
     #[must_use]
     pub fn new(journal: journal::Journal, reserve: size::Bytes) -> Self {
         Self {
@@ -47,9 +46,9 @@
         }
     }
 
-    /// Takes over what the replicated state says of an endpoint.
-    pub fn update_endpoint(&mut self, known: &view::Endpoint) {
-        let announcement = &known.announcement;
+    /// Applies the replicated state of an endpoint.
+    pub fn update_endpoint(&mut self, state: &view::Endpoint) {
+        let announcement = &state.announcement;
         if announcement.kind != endpoint::Kind::Runner {
             return;
         }
@@ -57,12 +56,12 @@
             .accounts
             .entry(announcement.endpoint.clone())
             .or_insert_with(|| account::Account::new(announcement, self.reserve));
-        account.health = known.health;
+        account.health = state.health;
         account.address = announcement.address;
-        account.void_other_boots(announcement.boot);
+        account.void_other_boot(announcement.boot);
         for order in self.journal.open.values() {
             if order.endpoint == announcement.endpoint {
-                account.count(order);
+                account.add_order(order);
             }
         }
     }
@@ -72,16 +71,16 @@
         self.accounts.retain(|endpoint, _| keep(endpoint));
     }
 
-    /// Starts a question for a report; earlier questions become void.
+    /// Issues the ticket of a new report request; earlier tickets become void.
     pub fn issue_ticket(&mut self, endpoint: &id::Endpoint) -> Option<Ticket> {
         let account = self.accounts.get_mut(endpoint)?;
-        account.question += 1;
-        Some(Ticket(account.question))
+        account.latest_ticket += 1;
+        Some(Ticket(account.latest_ticket))
     }
 
-    /// Uses an endpoint's report; gives the records to be logged.
+    /// Applies an endpoint's report; returns the records to be logged.
     ///
-    /// The orders stay counted until those records come back through
+    /// The orders stay counted until those records are committed and reach
     /// [`Ledger::apply`].
     pub fn apply_report(
         &mut self,
@@ -92,7 +91,7 @@
         let Some(account) = self.accounts.get_mut(&report.endpoint) else {
             return Vec::new();
         };
-        if ticket.0 != account.question {
+        if ticket.0 != account.latest_ticket {
             return Vec::new();
         }
         let outdated = floor
@@ -100,12 +99,12 @@
         if outdated {
             return Vec::new();
         }
-        account.observe(report)
+        account.apply_report(report)
     }
 
-    /// Uses an endpoint's answer to an order.
+    /// The record to be logged for an endpoint's answer to an order, if any.
     #[must_use]
-    pub fn hear(&self, verdict: &endpoint::Verdict) -> Option<journal::Record> {
+    pub fn record_for_verdict(&self, verdict: &endpoint::Verdict) -> Option<journal::Record> {
         let endpoint::Verdict::Refused { order, .. } = verdict else {
             return None;
         };
@@ -124,26 +123,26 @@
     ///
     /// # Errors
     ///
-    /// Why the order would break a promise.
-    pub fn intend(
+    /// The guarantee that the order would break.
+    pub fn open_order(
         &mut self,
         catalogue: &catalogue::Catalogue,
         order: &endpoint::Order,
     ) -> Result<(), Refusal> {
         if let endpoint::Action::Unload { model } = &order.action {
-            self.may_unload(catalogue, &order.endpoint, model)?;
+            self.check_unload(catalogue, &order.endpoint, model)?;
         }
         let account = self
             .accounts
             .get_mut(&order.endpoint)
             .ok_or(Refusal::UnknownEndpoint)?;
-        account.admits(order)?;
-        account.count(order);
+        account.check_order(order)?;
+        account.add_order(order);
         Ok(())
     }
 
-    /// Takes an order off the books that never entered the log.
-    pub fn withdraw(&mut self, order: &endpoint::Order) {
+    /// Drops an order whose intent certainly did not enter the log.
+    pub fn drop_order(&mut self, order: &endpoint::Order) {
         if let Some(account) = self.accounts.get_mut(&order.endpoint) {
             account.open.remove(&order.order);
         }
@@ -158,7 +157,7 @@
             journal::Record::Opened { .. } => {}
             journal::Record::Intended { order } => {
                 if let Some(account) = self.accounts.get_mut(&order.endpoint) {
-                    account.count(order);
+                    account.add_order(order);
                 }
             }
             journal::Record::Ended {
@@ -171,13 +170,13 @@
         }
     }
 
-    /// All accounts in the order of their names.
+    /// All accounts by endpoint.
     #[must_use]
     pub fn accounts(&self) -> &BTreeMap<id::Endpoint, account::Account> {
         &self.accounts
     }
 
-    /// Orders that may still take effect and are committed.
+    /// Committed orders that may still take effect.
     #[must_use]
     pub fn journal(&self) -> &journal::Journal {
         &self.journal
@@ -185,17 +184,19 @@
 
     /// Number of copies that serve now and will go on serving.
     #[must_use]
-    pub fn copies(&self, model: &id::Model) -> usize {
+    pub fn serving_copies(&self, model: &id::Model) -> usize {
         let accounts = self.accounts.values();
         accounts.filter(|account| account.serves(model)).count()
     }
 
-    /// Unloading the last copy that is proven to serve would make the model
-    /// unreachable until another load ends. Callers would see refusals. So
-    /// another copy must be confirmed first, or, for an old version, a copy of
-    /// the version that takes its place. An adapter serves only beside its base
-    /// model, so a base model takes the adapters that are with it along.
-    fn may_unload(
+    /// Checks that an unload leaves the model and its adapters reachable.
+    ///
+    /// Unloading the last copy that is proven to serve would make the model unreachable
+    /// until another load ends, and callers would be refused. So another copy must be
+    /// confirmed first, or, for an old version, a copy of the version that replaces it.
+    /// An adapter serves only beside its base model, so unloading a base model also
+    /// removes the adapters beside it.
+    fn check_unload(
         &self,
         catalogue: &catalogue::Catalogue,
         endpoint: &id::Endpoint,
@@ -204,10 +205,10 @@
         let account = self.accounts.get(endpoint);
         let account = account.ok_or(Refusal::UnknownEndpoint)?;
         let adapters = catalogue.adapters(model).iter();
-        let mut taken = adapters
+        let mut removed = adapters
             .filter(|adapter| account.serves(adapter))
             .chain(std::iter::once(model));
-        if taken.all(|taken| self.serves_elsewhere(catalogue, endpoint, taken)) {
+        if removed.all(|name| self.serves_elsewhere(catalogue, endpoint, name)) {
             return Ok(());
         }
         Err(Refusal::LastCopy)
@@ -224,13 +225,13 @@
         let successor = catalogue.successor(model);
         let base = catalogue.base(model);
         others.any(|account| {
-            let based = base.is_none_or(|base| account.serves(base));
-            let replaced = successor.is_some_and(|newer| account.serves(newer));
-            based && account.serves(model) || replaced
+            let base_serves = base.is_none_or(|base| account.serves(base));
+            let successor_serves = successor.is_some_and(|newer| account.serves(newer));
+            base_serves && account.serves(model) || successor_serves
         })
     }
 
-    /// The residency number that an account was last seen with.
+    /// Residency number of the last report that an account has.
     #[must_use]
     pub fn residency(&self, endpoint: &id::Endpoint) -> Option<number::Sequence> {
         self.accounts.get(endpoint).map(|account| account.residency)
--- a/crates/cranberrygap-placement/src/ledger/account.rs
+++ b/crates/cranberrygap-placement/src/ledger/account.rs
@@ -1,4 +1,4 @@
-//! One endpoint's memory.
+//! Account of one endpoint's memory.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use crate::journal;
 use crate::ledger::Refusal;
 
-/// What is resident on one endpoint and what may become so.
+/// Models that are resident on one endpoint, and those that may become so.
 #[derive(Debug, Clone)]
 pub struct Account {
-    /// Where orders go.
+    /// Address that orders are sent to.
     pub address: address::Socket,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Whether it may get work and orders.
+    /// Whether it may get requests and orders.
     pub health: view::Health,
     /// Whether it refuses orders with an old fencing number.
     pub checks_fence: bool,
@@ -23,17 +23,17 @@
     pub accelerators: u32,
     /// Memory for weights and KV cache.
     pub memory: size::Bytes,
-    /// Part of the memory that is kept for KV cache.
+    /// Part of the memory that is kept for the KV cache.
     pub reserve: size::Bytes,
     /// The boot that reported to this leader; none before its first report.
     pub boot: Option<number::Boot>,
-    /// Number of the resident list.
+    /// Sequence number of the list of resident models.
     pub residency: number::Sequence,
-    /// What was resident by the newest report.
+    /// Resident models and their sizes by the newest report.
     pub resident: BTreeMap<id::Model, size::Bytes>,
     /// Orders that may still take effect.
     pub open: BTreeMap<id::Order, endpoint::Order>,
-    pub(super) question: u64,
+    pub(super) latest_ticket: u64,
 }
 
 impl Account {
@@ -50,11 +50,11 @@
             residency: number::Sequence::default(),
             resident: BTreeMap::new(),
             open: BTreeMap::new(),
-            question: 0,
+            latest_ticket: 0,
         }
     }
 
-    /// Memory that is taken if every open order took effect, with the KV reserve.
+    /// Memory that is taken if every open order takes effect, including the KV reserve.
     #[must_use]
     pub fn committed(&self) -> size::Bytes {
         let resident: u64 = self.resident.values().map(|size| size.0).sum();
@@ -82,46 +82,51 @@
     /// Whether a copy is proven to serve here and no order may remove it.
     #[must_use]
     pub fn serves(&self, model: &id::Model) -> bool {
-        self.is_usable() && self.resident.contains_key(model) && !self.unloads(model)
+        self.is_usable() && self.resident.contains_key(model) && !self.has_open_unload(model)
     }
 
-    /// Whether a copy serves here or a load of it is on the way.
+    /// Whether a copy serves here or is being loaded, and no order may remove it.
     #[must_use]
-    pub fn expects(&self, model: &id::Model) -> bool {
-        let there = self.resident.contains_key(model) || self.loads(model);
-        there && !self.unloads(model)
+    pub fn will_serve(&self, model: &id::Model) -> bool {
+        let present = self.resident.contains_key(model) || self.has_open_load(model);
+        present && !self.has_open_unload(model)
     }
 
     /// Whether a load of the model may still take effect.
     #[must_use]
-    pub fn loads(&self, model: &id::Model) -> bool {
+    pub fn has_open_load(&self, model: &id::Model) -> bool {
         let mut actions = self.open.values().map(|order| &order.action);
-        actions
-            .any(|action| matches!(action, endpoint::Action::Load { model: m, .. } if m == model))
+        actions.any(
+            |action| matches!(action, endpoint::Action::Load { model: name, .. } if name == model),
+        )
     }
 
     /// Whether an unload of the model may still take effect.
     #[must_use]
-    pub fn unloads(&self, model: &id::Model) -> bool {
+    pub fn has_open_unload(&self, model: &id::Model) -> bool {
         let mut actions = self.open.values().map(|order| &order.action);
-        actions.any(|action| matches!(action, endpoint::Action::Unload { model: m } if m == model))
+        actions.any(
+            |action| matches!(action, endpoint::Action::Unload { model: name } if name == model),
+        )
     }
 
-    /// An endpoint restarts between two reports, and its announcement is heard
-    /// first. Its models are gone, but the last report still shows them; another
-    /// endpoint's copy could be unloaded on the strength of that. Until the new
-    /// process reports, nothing here counts as serving, and no order goes out.
-    pub(super) fn void_other_boots(&mut self, announced: number::Boot) {
+    /// Voids the last report if the endpoint announces another boot.
+    ///
+    /// If an endpoint restarts between two reports and its announcement arrives first,
+    /// its models are gone but the last report still shows them, and another endpoint's
+    /// copy could be unloaded because of it. Until the new process reports, nothing here
+    /// counts as serving, and no order is sent.
+    pub(super) fn void_other_boot(&mut self, announced: number::Boot) {
         if self.boot != Some(announced) {
             self.boot = None;
         }
     }
 
-    pub(super) fn count(&mut self, order: &endpoint::Order) {
+    pub(super) fn add_order(&mut self, order: &endpoint::Order) {
         self.open.insert(order.order.clone(), order.clone());
     }
 
-    pub(super) fn admits(&self, order: &endpoint::Order) -> Result<(), Refusal> {
+    pub(super) fn check_order(&self, order: &endpoint::Order) -> Result<(), Refusal> {
         if !self.is_usable() {
             return Err(Refusal::NotConfirmed);
         }
@@ -129,14 +134,14 @@
             return Err(Refusal::WrongBoot);
         }
         match &order.action {
-            endpoint::Action::Load { model, size } => self.admits_load(model, *size),
-            endpoint::Action::Unload { model } => self.admits_unload(model),
+            endpoint::Action::Load { model, size } => self.check_load(model, *size),
+            endpoint::Action::Unload { model } => self.check_unload(model),
             endpoint::Action::Role { .. } => Ok(()),
         }
     }
 
-    fn admits_load(&self, model: &id::Model, size: size::Bytes) -> Result<(), Refusal> {
-        if self.loads(model) || self.unloads(model) {
+    fn check_load(&self, model: &id::Model, size: size::Bytes) -> Result<(), Refusal> {
+        if self.has_open_load(model) || self.has_open_unload(model) {
             return Err(Refusal::Conflict);
         }
         if self.resident.contains_key(model) {
@@ -148,8 +153,8 @@
         Ok(())
     }
 
-    fn admits_unload(&self, model: &id::Model) -> Result<(), Refusal> {
-        if self.loads(model) || self.unloads(model) {
+    fn check_unload(&self, model: &id::Model) -> Result<(), Refusal> {
+        if self.has_open_load(model) || self.has_open_unload(model) {
             return Err(Refusal::Conflict);
         }
         if !self.resident.contains_key(model) {
@@ -158,7 +163,7 @@
         Ok(())
     }
 
-    pub(super) fn observe(&mut self, report: &endpoint::Report) -> Vec<journal::Record> {
+    pub(super) fn apply_report(&mut self, report: &endpoint::Report) -> Vec<journal::Record> {
         if self.boot == Some(report.boot) && report.residency < self.residency {
             return Vec::new();
         }
@@ -169,13 +174,15 @@
             .map(|resident| (resident.model.clone(), resident.size))
             .collect();
         let open = self.open.values();
-        open.filter_map(|order| self.ended(order)).collect()
+        open.filter_map(|order| self.end_record(order)).collect()
     }
 
-    /// An order may be lost, late or doubled, so neither time nor silence ends
-    /// it: given up too early it would land on memory that was given to another
-    /// model. It ends when its result is seen or its process is gone.
-    fn ended(&self, order: &endpoint::Order) -> Option<journal::Record> {
+    /// The record that ends an order, if its end is proven.
+    ///
+    /// An order may be lost, late or duplicated, so neither time nor silence ends it:
+    /// dropped too early, it would take memory that was given to another model. It ends
+    /// when its result is reported or its process is gone.
+    fn end_record(&self, order: &endpoint::Order) -> Option<journal::Record> {
         let boot = self.boot?;
         let evidence = if order.boot == boot {
             let done = match &order.action {
--- a/crates/cranberrygap-placement/src/ledger/refusal.rs
+++ b/crates/cranberrygap-placement/src/ledger/refusal.rs
@@ -1,6 +1,6 @@
-//! Why an order is not given.
+//! Reasons why an order is not issued.
 
-/// The promise that an order would break.
+/// The guarantee that an order would break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// The endpoint is not a known runner.
@@ -15,7 +15,7 @@
     /// Another order about the same model may still take effect there.
     #[error("another order about this model is open on the endpoint")]
     Conflict,
-    /// The result is already there.
+    /// The requested state already holds.
     #[error("the endpoint already is as the order wants it")]
     Needless,
     /// Memory would be overcommitted if every open order took effect.
--- a/crates/cranberrygap-placement/src/lib.rs
+++ b/crates/cranberrygap-placement/src/lib.rs
@@ -1,9 +1,10 @@
 //! Fleet decisions without I/O: memory ledger, orders, placement, forecasts.
 //!
-//! [`journal`] is the replicated part, [`ledger`] what a leader knows of the
-//! endpoints' memory, [`plan`] what should change, [`orders`] which change goes
-//! out when, and [`forecast`] how much demand to expect. [`residency`] does all of
-//! it for runners that count the orders that they accept.
+//! Two planners share this crate. [`residency`] serves runners that count the orders they
+//! accept. For all other endpoints, [`journal`] holds the replicated record of open
+//! orders, [`ledger`] a leader's view of endpoint memory, [`plan`] the changes that are
+//! wanted, [`orders`] the order in which they are sent, and [`forecast`] the expected
+//! demand.
 
 pub mod catalogue;
 pub mod forecast;
--- a/crates/cranberrygap-placement/src/orders.rs
+++ b/crates/cranberrygap-placement/src/orders.rs
@@ -1,4 +1,5 @@
-//! Which order goes out when: the store's limits, repetition, priorities.
+//! Executes plans: which order is sent when, by the store's limits, resends and
+//! priorities.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +14,10 @@
 
 use crate::catalogue;
 
-/// What the executor is told.
+/// Input of the executor.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// What should change, most urgent first; replaces the earlier plan.
+    /// The wanted changes, most urgent first; replaces the earlier plan.
     Plan(Vec<plan::Move>),
     /// A proposed record was committed.
     Committed(journal::Record),
@@ -24,13 +25,13 @@
     NotCommitted(endpoint::Order),
     /// An endpoint answered an order.
     Answered(endpoint::Verdict),
-    /// An endpoint answered a question for its report.
+    /// An endpoint answered a report request.
     Reported(ledger::Ticket, endpoint::Report),
     /// Time has passed.
     Tick,
 }
 
-/// What the executor wants done.
+/// Output of the executor.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Propose a record to the replicated log.
@@ -39,7 +40,7 @@
     Send(endpoint::Order),
 }
 
-/// Executes plans in one leader's time of office.
+/// Executes plans during one leader's term.
 #[derive(Debug)]
 pub struct Executor {
     ledger: ledger::Ledger,
@@ -47,27 +48,28 @@
     limits: limit::Limits,
     bucket: limit::Bucket,
     fence: number::Fence,
-    since: duration::Instant,
+    started_at: duration::Instant,
     /// Until then a predecessor may still send to endpoints that ignore fences.
-    quiet_until: duration::Instant,
-    wanted: Vec<plan::Move>,
-    flights: BTreeMap<id::Order, Flight>,
-    ending: BTreeMap<id::Order, duration::Instant>,
-    issued: u64,
+    predecessor_sends_until: duration::Instant,
+    wanted_moves: Vec<plan::Move>,
+    in_flight: BTreeMap<id::Order, InFlight>,
+    proposed_ends: BTreeMap<id::Order, duration::Instant>,
+    issued_count: u64,
 }
 
-/// The last time that an open order was sent, and how often.
+/// When an open order was first and last sent.
 #[derive(Debug, Clone, Copy)]
-struct Flight {
-    sent: duration::Instant,
-    first: duration::Instant,
+struct InFlight {
+    last_sent: duration::Instant,
+    first_sent: duration::Instant,
 }
 
-/// Longest time after which an end that was proposed is proposed again.
-const PROPOSAL_LIFE: duration::Span = duration::Span::from_secs(2);
+/// Time after which the proposed end of an order is proposed again.
+const PROPOSAL_TIMEOUT: duration::Span = duration::Span::from_secs(2);
 
 impl Executor {
-    /// Takes office at `now`; `lease` is how long a predecessor may still send.
+    /// Creates the executor of a leader whose term began at `now`; `lease` is how long a
+    /// predecessor may still send.
     #[must_use]
     pub fn new(
         now: duration::Instant,
@@ -77,26 +79,26 @@
         fence: number::Fence,
         lease: duration::Span,
     ) -> Self {
-        // Inherited loads may just have been sent; they hold their slots for a
-        // load's whole time, counted from now.
+        // Inherited loads may have been sent just now; they hold their slots for the
+        // whole time of a load, counted from now.
         let inherited = ledger.journal().open.keys();
-        let flight = Flight {
-            sent: now,
-            first: now,
+        let sent = InFlight {
+            last_sent: now,
+            first_sent: now,
         };
-        let flights = inherited.map(|order| (order.clone(), flight)).collect();
+        let in_flight = inherited.map(|order| (order.clone(), sent)).collect();
         Self {
             ledger,
             catalogue,
             bucket: limit::Bucket::empty(now, limits.loads_per_second),
             limits,
             fence,
-            since: now,
-            quiet_until: now.after(lease),
-            wanted: Vec::new(),
-            flights,
-            ending: BTreeMap::new(),
-            issued: 0,
+            started_at: now,
+            predecessor_sends_until: now.after(lease),
+            wanted_moves: Vec::new(),
+            in_flight,
+            proposed_ends: BTreeMap::new(),
+            issued_count: 0,
         }
     }
 
@@ -106,192 +108,207 @@
         &self.ledger
     }
 
-    /// The ledger, to enrol endpoints and start questions.
+    /// The ledger, to update endpoints and issue report tickets.
     pub fn ledger_mut(&mut self) -> &mut ledger::Ledger {
         &mut self.ledger
     }
 
-    /// The store's list that orders are checked against.
+    /// The weight store's list that orders are checked against.
     #[must_use]
     pub fn catalogue(&self) -> &catalogue::Catalogue {
         &self.catalogue
     }
 
-    /// Replaces the store's list.
+    /// Replaces the weight store's list.
     pub fn set_catalogue(&mut self, catalogue: catalogue::Catalogue) {
         self.catalogue = catalogue;
     }
 
-    /// Takes one step.
+    /// Handles one input.
     pub fn step(&mut self, now: duration::Instant, input: Input) -> Vec<Output> {
         match input {
-            Input::Plan(wanted) => {
-                self.wanted = wanted;
-                self.issue(now)
+            Input::Plan(moves) => {
+                self.wanted_moves = moves;
+                self.issue_orders(now)
             }
-            Input::Committed(record) => self.committed(now, &record),
+            Input::Committed(record) => self.handle_committed(now, &record),
             Input::NotCommitted(order) => {
-                self.ledger.withdraw(&order);
-                self.flights.remove(&order.order);
+                self.ledger.drop_order(&order);
+                self.in_flight.remove(&order.order);
                 Vec::new()
             }
             Input::Answered(verdict) => {
-                let record = self.ledger.hear(&verdict);
-                self.end(now, record.into_iter().collect())
+                let record = self.ledger.record_for_verdict(&verdict);
+                self.propose_ends(now, record.into_iter().collect())
             }
             Input::Reported(ticket, report) => {
                 let records = self.ledger.apply_report(ticket, &report);
-                self.end(now, records)
+                self.propose_ends(now, records)
             }
             Input::Tick => {
-                let mut outputs = self.repeat(now);
-                outputs.extend(self.issue(now));
+                let mut outputs = self.resend_due(now);
+                outputs.extend(self.issue_orders(now));
                 outputs
             }
         }
     }
 
-    fn committed(&mut self, now: duration::Instant, record: &journal::Record) -> Vec<Output> {
+    fn handle_committed(
+        &mut self,
+        now: duration::Instant,
+        record: &journal::Record,
+    ) -> Vec<Output> {
         self.ledger.apply(record);
         match record {
             journal::Record::Opened { .. } => Vec::new(),
             journal::Record::Intended { order } => {
-                let flight = Flight {
-                    sent: now,
-                    first: now,
+                let sent = InFlight {
+                    last_sent: now,
+                    first_sent: now,
                 };
-                self.flights.insert(order.order.clone(), flight);
+                self.in_flight.insert(order.order.clone(), sent);
                 vec![Output::Send(order.clone())]
             }
             journal::Record::Ended { order, .. } => {
-                self.flights.remove(order);
-                self.ending.remove(order);
-                self.issue(now)
+                self.in_flight.remove(order);
+                self.proposed_ends.remove(order);
+                self.issue_orders(now)
             }
         }
     }
 
-    fn end(&mut self, now: duration::Instant, records: Vec<journal::Record>) -> Vec<Output> {
+    fn propose_ends(
+        &mut self,
+        now: duration::Instant,
+        records: Vec<journal::Record>,
+    ) -> Vec<Output> {
         let mut outputs = Vec::new();
         for record in records {
             let journal::Record::Ended { order, .. } = &record else {
                 continue;
             };
-            let proposed = self.ending.get(order);
-            if proposed.is_some_and(|at| now.since(*at) < PROPOSAL_LIFE) {
+            let proposed_at = self.proposed_ends.get(order);
+            if proposed_at.is_some_and(|at| now.since(*at) < PROPOSAL_TIMEOUT) {
                 continue;
             }
             // An order whose own intent is not committed cannot end before it.
             if !self.ledger.journal().open.contains_key(order) {
                 continue;
             }
-            self.ending.insert(order.clone(), now);
+            self.proposed_ends.insert(order.clone(), now);
             outputs.push(Output::Propose(record));
         }
         outputs
     }
 
-    /// A sent order or its answer may be lost. One would notice a load that
-    /// never comes and memory that stays counted. Sending the same order again
-    /// is safe, since the endpoint runs each id at most once.
-    fn repeat(&mut self, now: duration::Instant) -> Vec<Output> {
+    /// Sends open orders again whose resend time has passed.
+    ///
+    /// A sent order or its answer may be lost; then the load would never come and its
+    /// memory would stay counted. Resending the same order is safe, since the endpoint
+    /// executes each id at most once.
+    fn resend_due(&mut self, now: duration::Instant) -> Vec<Output> {
         let mut outputs = Vec::new();
         for order in self.ledger.journal().open.values() {
             let account = self.ledger.accounts().get(&order.endpoint);
             if account.is_none_or(|account| account.boot != Some(order.boot)) {
                 continue;
             }
-            let Some(flight) = self.flights.get_mut(&order.order) else {
+            let Some(sent) = self.in_flight.get_mut(&order.order) else {
                 continue;
             };
-            if now.since(flight.sent) < self.limits.resend_after {
+            if now.since(sent.last_sent) < self.limits.resend_after {
                 continue;
             }
-            flight.sent = now;
+            sent.last_sent = now;
             outputs.push(Output::Send(order.clone()));
         }
         outputs
     }
 
-    fn issue(&mut self, now: duration::Instant) -> Vec<Output> {
+    fn issue_orders(&mut self, now: duration::Instant) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let mut left = Vec::new();
-        for wish in std::mem::take(&mut self.wanted) {
-            if !self.has_slot(now, &wish) {
-                left.push(wish);
+        let mut remaining = Vec::new();
+        for planned in std::mem::take(&mut self.wanted_moves) {
+            if !self.has_load_slot(now, &planned) {
+                remaining.push(planned);
                 continue;
             }
-            if let Some(order) = self.intend(now, &wish) {
-                self.spend(now, &wish);
-                let flight = Flight {
-                    sent: now,
-                    first: now,
+            if let Some(order) = self.create_order(now, &planned) {
+                self.take_load_token(now, &planned);
+                let sent = InFlight {
+                    last_sent: now,
+                    first_sent: now,
                 };
-                self.flights.insert(order.order.clone(), flight);
+                self.in_flight.insert(order.order.clone(), sent);
                 outputs.push(Output::Propose(journal::Record::Intended { order }));
             }
         }
-        self.wanted = left;
+        self.wanted_moves = remaining;
         outputs
     }
 
-    fn intend(&mut self, now: duration::Instant, wish: &plan::Move) -> Option<endpoint::Order> {
-        let account = self.ledger.accounts().get(&wish.endpoint)?;
-        if !account.checks_fence && now < self.quiet_until {
+    fn create_order(
+        &mut self,
+        now: duration::Instant,
+        planned: &plan::Move,
+    ) -> Option<endpoint::Order> {
+        let account = self.ledger.accounts().get(&planned.endpoint)?;
+        if !account.checks_fence && now < self.predecessor_sends_until {
             return None;
         }
-        // The start of office is part of the id: a leader may take office twice
-        // in one term, and an id must never name two orders.
-        let name = format!("{}-{}-{}", self.fence, self.since.0, self.issued);
+        // The start of the term is part of the id: a leader may begin twice in one term,
+        // and an id must never name two orders.
+        let name = format!("{}-{}-{}", self.fence, self.started_at.0, self.issued_count);
         let order = endpoint::Order {
             order: name.parse().ok()?,
-            endpoint: wish.endpoint.clone(),
+            endpoint: planned.endpoint.clone(),
             boot: account.boot?,
             fence: self.fence,
-            action: wish.action.clone(),
+            action: planned.action.clone(),
         };
-        self.ledger.intend(&self.catalogue, &order).ok()?;
-        self.issued += 1;
+        self.ledger.open_order(&self.catalogue, &order).ok()?;
+        self.issued_count += 1;
         Some(order)
     }
 
-    fn has_slot(&self, now: duration::Instant, wish: &plan::Move) -> bool {
-        let endpoint::Action::Load { model, .. } = &wish.action else {
+    fn has_load_slot(&self, now: duration::Instant, planned: &plan::Move) -> bool {
+        let endpoint::Action::Load { model, .. } = &planned.action else {
             return true;
         };
         if self.catalogue.is_adapter(model) {
-            return self.in_flight(now, true) < self.limits.concurrent_adapter_loads;
+            return self.loads_in_flight(now, true) < self.limits.concurrent_adapter_loads;
         }
-        self.in_flight(now, false) < self.limits.concurrent_loads && self.bucket.has(now)
+        self.loads_in_flight(now, false) < self.limits.concurrent_loads
+            && self.bucket.has_token(now)
     }
 
-    fn spend(&mut self, now: duration::Instant, wish: &plan::Move) {
-        if let endpoint::Action::Load { model, .. } = &wish.action
+    fn take_load_token(&mut self, now: duration::Instant, planned: &plan::Move) {
+        if let endpoint::Action::Load { model, .. } = &planned.action
             && !self.catalogue.is_adapter(model)
         {
             self.bucket.take(now);
         }
     }
 
-    /// Loads that the store is serving now.
+    /// Number of loads that the store is serving now.
     ///
-    /// A load towards a dead endpoint never ends. Counted for ever, a lost
-    /// failure domain would use up all slots and no repair could start; so it
-    /// holds its slot for the longest time of a load only. Its memory stays
-    /// counted all the same.
+    /// A load to a dead endpoint never ends. Counted for ever, the loads of a lost
+    /// failure domain would use up all slots and no repair could start; so a load holds
+    /// its slot for the maximum time of a load only. Its memory stays counted.
     #[must_use]
-    pub fn in_flight(&self, now: duration::Instant, adapters: bool) -> usize {
-        let loads = |order: &endpoint::Order| match &order.action {
+    pub fn loads_in_flight(&self, now: duration::Instant, adapters: bool) -> usize {
+        let is_load = |order: &endpoint::Order| match &order.action {
             endpoint::Action::Load { model, .. } => self.catalogue.is_adapter(model) == adapters,
             _ => false,
         };
-        let recent = |order: &endpoint::Order| {
-            self.flights
+        let holds_slot = |order: &endpoint::Order| {
+            self.in_flight
                 .get(&order.order)
-                .is_some_and(|flight| now.since(flight.first) < self.limits.load_slot_timeout)
+                .is_some_and(|sent| now.since(sent.first_sent) < self.limits.load_slot_timeout)
         };
         let accounts = self.ledger.accounts().values();
         let open = accounts.flat_map(|account| account.open.values());
-        open.filter(|order| loads(order) && recent(order)).count()
+        open.filter(|order| is_load(order) && holds_slot(order))
+            .count()
     }
 }
--- a/crates/cranberrygap-placement/src/plan.rs
+++ b/crates/cranberrygap-placement/src/plan.rs
@@ -1,9 +1,8 @@
-//! What should change in the fleet's memory.
+//! Plans which models and adapters to load and unload on the fleet's endpoints.
 //!
-//! A round plans on a [`draft`], a copy of the ledger with numbers for names.
-//! Its order is that of what users lose: models without any copy, models with
-//! one copy or copies in one failure domain only, adapters, old versions, then
-//! more copies where demand presses.
+//! A round plans on a [`draft`], a copy of the ledger with indices in place of names. The
+//! steps follow what users lose: models without a copy, models with one copy or copies in
+//! one failure domain only, adapters, old versions, then more copies for high demand.
 
 use std::collections::BTreeMap;
 
@@ -16,34 +15,34 @@
 pub mod assign;
 mod demand;
 pub mod draft;
+mod eviction;
 mod repair;
 mod retire;
-mod room;
 
-/// How placement weighs things.
+/// Settings of placement.
 #[derive(Debug, Clone, Copy, PartialEq, bon::Builder)]
 pub struct Settings {
-    /// Demand a second that one accelerator serves within the latency targets,
-    /// were there no weights to read.
+    /// Demand per second that one accelerator serves within the latency targets, before
+    /// the cost of reading weights.
     pub demand_per_accelerator: f64,
-    /// Demand a second that a runner serves less for each GiB of active weights.
+    /// Demand per second that a runner serves less for each GiB of active weights.
     #[builder(default = 0.0)]
     pub demand_per_gib: f64,
-    /// Copies that each model has wherever memory allows.
+    /// Number of copies of each model wherever memory allows.
     #[builder(default = 2)]
     pub copies: usize,
-    /// Part of a runner's capacity that is assigned; the rest is for bursts.
+    /// Share of a runner's capacity that is assigned; the rest is for bursts.
     #[builder(default = 0.8)]
     pub max_utilisation: f64,
-    /// Part of a model's demand that must be left over before a copy is added.
+    /// Share of a model's demand that must be unassigned before a copy is added.
     #[builder(default = 0.1)]
     pub min_overflow_share: f64,
-    /// Copies that are added for demand in one round at most.
+    /// Maximum number of copies added for demand in one round.
     #[builder(default = 6)]
     pub max_added_copies: usize,
 }
 
-/// What one round wants.
+/// Result of one round.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
     /// Changes, the most urgent first.
@@ -52,18 +51,18 @@
     pub preferred: assign::Preferred,
 }
 
-/// Why a change is wanted; the most urgent first.
+/// Reason of a change; the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Makes room for a more urgent load.
-    Room,
+    /// Frees memory for a more urgent load.
+    Eviction,
     /// The model has no copy.
     Unreachable,
     /// The model has one copy, or copies in one failure domain only.
     Risk,
-    /// The adapter's base model is there.
+    /// The adapter's base model is resident.
     Adapter,
-    /// Demand presses on the model's copies.
+    /// Demand exceeds what the model's copies can serve.
     Demand,
     /// A newer version serves in its place.
     Retired,
@@ -72,18 +71,18 @@
 /// One wanted change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
-    /// Where.
+    /// The endpoint to change.
     pub endpoint: id::Endpoint,
-    /// What.
+    /// The change.
     pub action: endpoint::Action,
-    /// Why.
+    /// The reason of the change.
     pub reason: Reason,
 }
 
 /// Plans one round.
 ///
-/// `demand` is the expected demand a second by model and adapter, `previous`
-/// the preference that the entries follow now.
+/// `demand` is the expected demand per second by model and adapter, `previous` the
+/// preference that the entries follow now.
 #[must_use]
 pub fn plan(
     ledger: &ledger::Ledger,
@@ -93,14 +92,14 @@
     settings: &Settings,
 ) -> Plan {
     let mut draft = draft::Draft::new(ledger, catalogue, demand, settings);
-    assign::all(&mut draft, previous);
+    assign::assign_all(&mut draft, previous);
     let preferred = assign::preferred(&draft);
-    repair::unreachable(&mut draft);
-    repair::risk(&mut draft);
-    repair::adapters(&mut draft);
-    retire::old_versions(&mut draft);
-    demand::spread(&mut draft);
+    repair::load_unreachable(&mut draft);
+    repair::load_at_risk(&mut draft);
+    repair::load_adapters(&mut draft);
+    retire::unload_old_versions(&mut draft);
+    demand::add_copies(&mut draft);
     let mut moves = draft.take_moves();
-    moves.sort_by_key(|wish| wish.reason);
+    moves.sort_by_key(|planned| planned.reason);
     Plan { moves, preferred }
 }
--- a/crates/cranberrygap-placement/src/plan/demand.rs
+++ b/crates/cranberrygap-placement/src/plan/demand.rs
@@ -1,55 +1,55 @@
-//! More copies where demand presses.
+//! Adds copies of models whose demand exceeds their copies.
 
 use crate::plan;
 use crate::plan::assign;
 use crate::plan::draft;
-use crate::plan::room;
+use crate::plan::eviction;
 
-/// Adds copies of models whose demand found no place on those that they have.
+/// Adds copies of models with demand that their existing copies cannot take.
 ///
-/// Each move costs a load from the store and the cache of what it pushes out,
-/// so nothing moves while the copies bear the demand, and only to a runner that
-/// takes a good part of what is left over.
-pub fn spread(draft: &mut draft::Draft<'_>) {
-    let mut numbers: Vec<usize> = (0..draft.models.len())
-        .filter(|number| presses(draft, *number))
+/// Each move costs a load from the store and the cache of what it evicts, so nothing
+/// moves while the copies can serve the demand, and a copy goes only to a runner that
+/// takes a good part of the overflow.
+pub fn add_copies(draft: &mut draft::Draft<'_>) {
+    let mut indices: Vec<usize> = (0..draft.models.len())
+        .filter(|index| needs_copy(draft, *index))
         .collect();
-    let overflow = |number: &usize| draft.models[*number].overflow;
-    numbers.sort_by(|a, b| overflow(b).total_cmp(&overflow(a)));
-    numbers.truncate(draft.settings.max_added_copies);
-    for number in numbers {
-        add(draft, number);
+    let overflow = |index: &usize| draft.models[*index].overflow;
+    indices.sort_by(|a, b| overflow(b).total_cmp(&overflow(a)));
+    indices.truncate(draft.settings.max_added_copies);
+    for index in indices {
+        add_copy(draft, index);
     }
 }
 
-fn presses(draft: &draft::Draft<'_>, number: usize) -> bool {
-    let model = &draft.models[number];
-    // A copy that is being loaded will bring relief, and was counted with it.
+fn needs_copy(draft: &draft::Draft<'_>, index: usize) -> bool {
+    let model = &draft.models[index];
+    // A loading copy will bring relief and was counted with it.
     let loading = model.copies.iter().any(|copy| !copy.serves);
     !loading && model.overflow > draft.settings.min_overflow_share * model.demand
 }
 
-fn add(draft: &mut draft::Draft<'_>, number: usize) {
-    let model = &draft.models[number];
+fn add_copy(draft: &mut draft::Draft<'_>, index: usize) {
+    let model = &draft.models[index];
     let footprint = model.footprint;
-    let least = model.weight + draft.settings.min_overflow_share * model.overflow;
+    let min_spare = model.activation_cost + draft.settings.min_overflow_share * model.overflow;
     let mut targets: Vec<usize> = (0..draft.runners.len())
         .filter(|runner| {
-            let state = &draft.runners[*runner];
-            state.usable && !draft.has(*runner, number) && state.left() > least
+            let candidate = &draft.runners[*runner];
+            candidate.usable && !draft.has(*runner, index) && candidate.spare_capacity() > min_spare
         })
         .collect();
-    let left = |runner: &usize| draft.runners[*runner].left();
-    targets.sort_by(|a, b| left(b).total_cmp(&left(a)));
+    let spare = |runner: &usize| draft.runners[*runner].spare_capacity();
+    targets.sort_by(|a, b| spare(b).total_cmp(&spare(a)));
     let fits = targets
         .iter()
         .copied()
         .find(|runner| draft.runners[*runner].free >= footprint);
     if let Some(runner) = fits {
-        draft.add(runner, number, plan::Reason::Demand);
-        assign::fill(draft, number, runner);
+        draft.add_copy(runner, index, plan::Reason::Demand);
+        assign::fill(draft, index, runner);
         return;
     }
-    let keep = room::Keep::Spread(draft.settings.copies);
-    room::make(draft, &targets, footprint, keep);
+    let keep = eviction::Keep::Spread(draft.settings.copies);
+    eviction::make_room(draft, &targets, footprint, keep);
 }
--- a/crates/cranberrygap-placement/src/plan/draft.rs
+++ b/crates/cranberrygap-placement/src/plan/draft.rs
@@ -9,38 +9,38 @@
 use crate::ledger;
 use crate::plan;
 
-/// Bytes of a GiB.
+/// Bytes per GiB.
 const GIB: f64 = (1_u64 << 30) as f64;
 
-/// One runner on the draft.
+/// One runner in the draft.
 #[derive(Debug)]
 pub struct Runner {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: id::Endpoint,
-    /// Its failure domain, numbered.
+    /// Index of its failure domain.
     pub domain: usize,
     /// Whether orders can go to it.
     pub usable: bool,
-    /// Memory for further loads, with what this round wants already taken off.
+    /// Free memory in bytes, less what this round already wants to load.
     pub free: u64,
-    /// Demand a second that it should serve.
+    /// Demand per second that it should serve.
     pub capacity: f64,
-    /// Demand a second that is assigned to it, the cost of weights included.
+    /// Demand per second assigned to it, including the cost of weights.
     pub load: f64,
-    /// Numbers of the base models that it has or will have.
+    /// Indices of the base models that it has or will have.
     pub models: Vec<usize>,
 }
 
 impl Runner {
-    /// Load as a part of the capacity.
+    /// Load as a share of the capacity.
     #[must_use]
     pub fn utilisation(&self) -> f64 {
         self.load / self.capacity.max(f64::MIN_POSITIVE)
     }
 
-    /// Demand a second that may still be assigned.
+    /// Demand per second that can still be assigned.
     #[must_use]
-    pub fn left(&self) -> f64 {
+    pub fn spare_capacity(&self) -> f64 {
         self.capacity - self.load
     }
 }
@@ -48,27 +48,27 @@
 /// One copy of a base model.
 #[derive(Debug, Clone, Copy)]
 pub struct Copy {
-    /// Number of its runner.
+    /// Index of its runner.
     pub runner: usize,
-    /// Whether it serves now, as against being loaded.
+    /// Whether it serves now, as opposed to loading.
     pub serves: bool,
-    /// Demand a second that is assigned to it; zero where it only stands by.
+    /// Demand per second assigned to it; zero for a standby copy.
     pub share: f64,
 }
 
 /// One base model.
 #[derive(Debug)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: id::Model,
-    /// Size with all its adapters.
+    /// Size in bytes with all its adapters.
     pub footprint: u64,
-    /// Expected demand a second, its adapters' included.
+    /// Expected demand per second, including that of its adapters.
     pub demand: f64,
-    /// Demand that found no place on its copies.
+    /// Demand per second that could not be assigned to its copies.
     pub overflow: f64,
-    /// Demand that having it active costs a runner beside what it serves.
-    pub weight: f64,
+    /// Demand per second that a runner serves less while the model is active there.
+    pub activation_cost: f64,
     /// Its copies on usable runners.
     pub copies: Vec<Copy>,
 }
@@ -76,22 +76,22 @@
 /// The fleet as one round sees and changes it.
 #[derive(Debug)]
 pub struct Draft<'a> {
-    /// The ledger it was made from.
+    /// The ledger that it was made from.
     pub ledger: &'a ledger::Ledger,
-    /// The store's list.
+    /// The weight store's list.
     pub catalogue: &'a catalogue::Catalogue,
-    /// How placement weighs things.
+    /// Settings of placement.
     pub settings: &'a plan::Settings,
     /// Runners in the order of their names.
     pub runners: Vec<Runner>,
     /// Base models in the order of their names.
     pub models: Vec<Model>,
-    pub(super) numbers: BTreeMap<id::Model, usize>,
+    pub(super) indices: BTreeMap<id::Model, usize>,
     moves: Vec<plan::Move>,
 }
 
 impl<'a> Draft<'a> {
-    /// The draft of one round.
+    /// Creates the draft of one round.
     #[must_use]
     pub fn new(
         ledger: &'a ledger::Ledger,
@@ -101,7 +101,7 @@
     ) -> Self {
         let models = models(catalogue, demand, settings);
         let names = models.iter().map(|model| model.name.clone());
-        let numbers = names.zip(0..).collect();
+        let indices = names.zip(0..).collect();
         let runners = runners(ledger, settings);
         let mut draft = Self {
             ledger,
@@ -109,7 +109,7 @@
             settings,
             runners,
             models,
-            numbers,
+            indices,
             moves: Vec::new(),
         };
         draft.place_copies();
@@ -123,10 +123,10 @@
             }
             let loading = account.open.values().filter_map(loaded_model);
             for name in account.resident.keys().chain(loading) {
-                let Some(&number) = self.numbers.get(name) else {
+                let Some(&index) = self.indices.get(name) else {
                     continue;
                 };
-                if !account.expects(name) || self.runners[runner].models.contains(&number) {
+                if !account.will_serve(name) || self.runners[runner].models.contains(&index) {
                     continue;
                 }
                 let copy = Copy {
@@ -134,37 +134,38 @@
                     serves: account.serves(name),
                     share: 0.0,
                 };
-                self.models[number].copies.push(copy);
-                self.runners[runner].models.push(number);
-                self.keep_for_adapters(runner, number);
+                self.models[index].copies.push(copy);
+                self.runners[runner].models.push(index);
+                self.reserve_adapter_memory(runner, index);
             }
         }
     }
 
-    /// Adapters that are still to be loaded beside a base model need their
-    /// room; without this another base model would take it.
-    fn keep_for_adapters(&mut self, runner: usize, number: usize) {
+    /// Reserves the memory of adapters that are still to be loaded beside a base model;
+    /// without this another base model would take it.
+    fn reserve_adapter_memory(&mut self, runner: usize, index: usize) {
         let endpoint = &self.runners[runner].endpoint;
         let Some(account) = self.ledger.accounts().get(endpoint) else {
             return;
         };
-        let adapters = self.catalogue.adapters(&self.models[number].name).iter();
-        let missing = adapters
-            .filter(|adapter| !account.resident.contains_key(*adapter) && !account.loads(adapter));
-        let room: u64 = missing.map(|adapter| self.catalogue.size(adapter).0).sum();
+        let adapters = self.catalogue.adapters(&self.models[index].name).iter();
+        let missing = adapters.filter(|adapter| {
+            !account.resident.contains_key(*adapter) && !account.has_open_load(adapter)
+        });
+        let bytes: u64 = missing.map(|adapter| self.catalogue.size(adapter).0).sum();
         let runner = &mut self.runners[runner];
-        runner.free = runner.free.saturating_sub(room);
+        runner.free = runner.free.saturating_sub(bytes);
     }
 
     /// Whether the runner has or will have the model.
     #[must_use]
-    pub fn has(&self, runner: usize, number: usize) -> bool {
-        self.runners[runner].models.contains(&number)
+    pub fn has(&self, runner: usize, index: usize) -> bool {
+        self.runners[runner].models.contains(&index)
     }
 
-    /// Wants a copy loaded.
-    pub fn add(&mut self, runner: usize, number: usize, reason: plan::Reason) {
-        let model = &mut self.models[number];
+    /// Adds a copy and the move that loads it.
+    pub fn add_copy(&mut self, runner: usize, index: usize, reason: plan::Reason) {
+        let model = &mut self.models[index];
         model.copies.push(Copy {
             runner,
             serves: false,
@@ -172,36 +173,36 @@
         });
         let target = &mut self.runners[runner];
         target.free = target.free.saturating_sub(model.footprint);
-        target.models.push(number);
+        target.models.push(index);
         let action = endpoint::Action::Load {
             model: model.name.clone(),
             size: self.catalogue.size(&model.name),
         };
         let endpoint = target.endpoint.clone();
-        self.want(endpoint, action, reason);
+        self.add_move(endpoint, action, reason);
     }
 
-    /// Wants a copy and the adapters beside it unloaded.
+    /// Removes a copy and adds the moves that unload it with its adapters.
     ///
-    /// Its memory is not free before it is reported so; the load that needs the
-    /// room follows in a later round.
-    pub fn remove(&mut self, runner: usize, number: usize, reason: plan::Reason) {
-        let model = &mut self.models[number];
+    /// The memory counts as free only once it is reported so; the load that needs it
+    /// follows in a later round.
+    pub fn remove_copy(&mut self, runner: usize, index: usize, reason: plan::Reason) {
+        let model = &mut self.models[index];
         if let Some(position) = model.copies.iter().position(|copy| copy.runner == runner) {
             let copy = model.copies.remove(position);
             if copy.share > 0.0 {
-                self.runners[runner].load -= copy.share + model.weight;
+                self.runners[runner].load -= copy.share + model.activation_cost;
                 model.overflow += copy.share;
             }
         }
-        let name = self.models[number].name.clone();
+        let name = self.models[index].name.clone();
         let target = &mut self.runners[runner];
-        target.models.retain(|model| *model != number);
+        target.models.retain(|model| *model != index);
         let endpoint = target.endpoint.clone();
         self.unload_with_adapters(&endpoint, &name, reason);
     }
 
-    /// Wants a base model and the adapters beside it unloaded.
+    /// Adds the moves that unload a base model and the adapters beside it.
     pub fn unload_with_adapters(
         &mut self,
         endpoint: &id::Endpoint,
@@ -217,12 +218,17 @@
             let action = endpoint::Action::Unload {
                 model: name.clone(),
             };
-            self.want(endpoint.clone(), action, reason);
+            self.add_move(endpoint.clone(), action, reason);
         }
     }
 
-    /// Wants one change.
-    pub fn want(&mut self, endpoint: id::Endpoint, action: endpoint::Action, reason: plan::Reason) {
+    /// Adds one move.
+    pub fn add_move(
+        &mut self,
+        endpoint: id::Endpoint,
+        action: endpoint::Action,
+        reason: plan::Reason,
+    ) {
         self.moves.push(plan::Move {
             endpoint,
             action,
@@ -230,7 +236,7 @@
         });
     }
 
-    /// Takes out what the round wants.
+    /// Takes the moves of the round.
     pub fn take_moves(&mut self) -> Vec<plan::Move> {
         std::mem::take(&mut self.moves)
     }
@@ -248,7 +254,7 @@
     demand: &BTreeMap<id::Model, f64>,
     settings: &plan::Settings,
 ) -> Vec<Model> {
-    let of = |name: &id::Model| demand.get(name).copied().unwrap_or_default();
+    let demand_of = |name: &id::Model| demand.get(name).copied().unwrap_or_default();
     let bases = catalogue.bases();
     bases
         .map(|name| {
@@ -256,9 +262,9 @@
             Model {
                 name: name.clone(),
                 footprint: catalogue.footprint(name).0,
-                demand: of(name) + adapters.map(of).sum::<f64>(),
+                demand: demand_of(name) + adapters.map(demand_of).sum::<f64>(),
                 overflow: 0.0,
-                weight: catalogue.size(name).0 as f64 / GIB * settings.demand_per_gib,
+                activation_cost: catalogue.size(name).0 as f64 / GIB * settings.demand_per_gib,
                 copies: Vec::new(),
             }
         })
--- a/crates/cranberrygap-placement/src/plan/repair.rs
+++ b/crates/cranberrygap-placement/src/plan/repair.rs
@@ -1,31 +1,32 @@
-//! Copies that must be there whatever the demand.
+//! Loads copies that are required whatever the demand.
 
 use cranberrygap_wire::endpoint;
 
 use crate::plan;
 use crate::plan::draft;
-use crate::plan::room;
+use crate::plan::eviction;
 
-/// Loads a first copy of every model that has none, hot ones first.
-pub fn unreachable(draft: &mut draft::Draft<'_>) {
-    for number in by_demand(draft) {
-        if draft.models[number].copies.is_empty() {
-            place(draft, number, plan::Reason::Unreachable);
+/// Loads a first copy of every model that has none, models with the most demand first.
+pub fn load_unreachable(draft: &mut draft::Draft<'_>) {
+    for index in by_demand(draft) {
+        if draft.models[index].copies.is_empty() {
+            place_copy(draft, index, plan::Reason::Unreachable);
         }
     }
 }
 
-/// Loads a further copy of every model that one failure could take, hot ones first.
-pub fn risk(draft: &mut draft::Draft<'_>) {
-    for number in by_demand(draft) {
-        if is_at_risk(draft, number) {
-            place(draft, number, plan::Reason::Risk);
+/// Loads another copy of every model that one failure could make unreachable, models with
+/// the most demand first.
+pub fn load_at_risk(draft: &mut draft::Draft<'_>) {
+    for index in by_demand(draft) {
+        if is_at_risk(draft, index) {
+            place_copy(draft, index, plan::Reason::Risk);
         }
     }
 }
 
 /// Loads the adapters that are missing beside their base models.
-pub fn adapters(draft: &mut draft::Draft<'_>) {
+pub fn load_adapters(draft: &mut draft::Draft<'_>) {
     let ledger = draft.ledger;
     let catalogue = draft.catalogue;
     for (endpoint, account) in ledger.accounts() {
@@ -36,7 +37,7 @@
         for base in account.resident.keys().filter(|base| account.serves(base)) {
             for adapter in catalogue.adapters(base) {
                 let size = catalogue.size(adapter);
-                if account.expects(adapter) || size.0 > free {
+                if account.will_serve(adapter) || size.0 > free {
                     continue;
                 }
                 free -= size.0;
@@ -44,21 +45,21 @@
                     model: adapter.clone(),
                     size,
                 };
-                draft.want(endpoint.clone(), action, plan::Reason::Adapter);
+                draft.add_move(endpoint.clone(), action, plan::Reason::Adapter);
             }
         }
     }
 }
 
 fn by_demand(draft: &draft::Draft<'_>) -> Vec<usize> {
-    let mut numbers: Vec<usize> = (0..draft.models.len()).collect();
-    let demand = |number: &usize| draft.models[*number].demand;
-    numbers.sort_by(|a, b| demand(b).total_cmp(&demand(a)).then(a.cmp(b)));
-    numbers
+    let mut indices: Vec<usize> = (0..draft.models.len()).collect();
+    let demand = |index: &usize| draft.models[*index].demand;
+    indices.sort_by(|a, b| demand(b).total_cmp(&demand(a)).then(a.cmp(b)));
+    indices
 }
 
-fn is_at_risk(draft: &draft::Draft<'_>, number: usize) -> bool {
-    let copies = &draft.models[number].copies;
+fn is_at_risk(draft: &draft::Draft<'_>, index: usize) -> bool {
+    let copies = &draft.models[index].copies;
     if copies.is_empty() {
         return false;
     }
@@ -67,23 +68,24 @@
     copies.len() < draft.settings.copies || copies.iter().all(|copy| domain(copy) == first)
 }
 
-/// Puts a copy where it helps most: away from the failure domains that have
-/// one, then where the load is least. Where no room is left, another model
-/// with copies to spare makes room.
-fn place(draft: &mut draft::Draft<'_>, number: usize, reason: plan::Reason) {
-    let taken: Vec<usize> = draft.models[number]
+/// Places a copy where it helps most: away from the failure domains that have one, then
+/// where the load is lowest. If no runner has the memory, copies of another model with
+/// copies to spare are evicted.
+fn place_copy(draft: &mut draft::Draft<'_>, index: usize, reason: plan::Reason) {
+    let used_domains: Vec<usize> = draft.models[index]
         .copies
         .iter()
         .map(|copy| draft.runners[copy.runner].domain)
         .collect();
-    let footprint = draft.models[number].footprint;
+    let footprint = draft.models[index].footprint;
     let candidates = (0..draft.runners.len())
-        .filter(|runner| draft.runners[*runner].usable && !draft.has(*runner, number));
+        .filter(|runner| draft.runners[*runner].usable && !draft.has(*runner, index));
     let fits = candidates
         .clone()
         .filter(|runner| draft.runners[*runner].free >= footprint)
         .filter(|runner| {
-            reason == plan::Reason::Unreachable || !taken.contains(&draft.runners[*runner].domain)
+            reason == plan::Reason::Unreachable
+                || !used_domains.contains(&draft.runners[*runner].domain)
         });
     let best = fits.min_by(|a, b| {
         let (a, b) = (&draft.runners[*a], &draft.runners[*b]);
@@ -91,18 +93,19 @@
         load.then(b.free.cmp(&a.free))
     });
     if let Some(runner) = best {
-        draft.add(runner, number, reason);
+        draft.add_copy(runner, index, reason);
         return;
     }
     let keep = if reason == plan::Reason::Unreachable {
-        room::Keep::One
+        eviction::Keep::One
     } else {
-        room::Keep::Spread(draft.settings.copies)
+        eviction::Keep::Spread(draft.settings.copies)
     };
     let elsewhere: Vec<usize> = candidates
         .filter(|runner| {
-            reason == plan::Reason::Unreachable || !taken.contains(&draft.runners[*runner].domain)
+            reason == plan::Reason::Unreachable
+                || !used_domains.contains(&draft.runners[*runner].domain)
         })
         .collect();
-    room::make(draft, &elsewhere, footprint, keep);
+    eviction::make_room(draft, &elsewhere, footprint, keep);
 }
--- a/crates/cranberrygap-placement/src/plan/retire.rs
+++ b/crates/cranberrygap-placement/src/plan/retire.rs
@@ -1,4 +1,4 @@
-//! Old versions go once the new one serves.
+//! Unloads old versions once the new one serves.
 
 use cranberrygap_model::id;
 
@@ -7,10 +7,10 @@
 
 /// Unloads old versions whose successors have all the copies that they need.
 ///
-/// With an old version unloaded too early, callers of the public name would
-/// meet a gap or one copy that bears everything. So the newer version must
-/// serve from as many endpoints as the old one, or as every model has.
-pub fn old_versions(draft: &mut draft::Draft<'_>) {
+/// If an old version were unloaded too early, callers of the public name would meet a gap
+/// or a single copy that takes all requests. So the newer version must serve from as many
+/// endpoints as the old one, or from as many as every model has.
+pub fn unload_old_versions(draft: &mut draft::Draft<'_>) {
     let ledger = draft.ledger;
     let catalogue = draft.catalogue;
     for weights in catalogue.iter() {
@@ -18,8 +18,8 @@
         let Some(newer) = catalogue.successor(old) else {
             continue;
         };
-        let needed = ledger.copies(old).min(draft.settings.copies).max(1);
-        if ledger.copies(newer) < needed {
+        let needed = ledger.serving_copies(old).min(draft.settings.copies).max(1);
+        if ledger.serving_copies(newer) < needed {
             continue;
         }
         let holders = ledger.accounts().iter();
--- a/crates/cranberrygap-placement/tests/forecast.rs
+++ b/crates/cranberrygap-placement/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! Both estimators against demand that is steady and demand that stops.
+//! Both estimators with steady demand and with demand that stops.
 
 use cranberrygap_model::{duration, id};
 use cranberrygap_placement::forecast::{self, decayed, heat};
--- a/crates/cranberrygap-placement/tests/orders.rs
+++ b/crates/cranberrygap-placement/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The executor: the store's limits, repetition, priorities, leader changes.
+//! The executor: the store's limits, resends, priorities, leader changes.
 
 use cranberrygap_model::{duration, number};
 use cranberrygap_placement::{journal, ledger, orders, plan};
@@ -23,7 +23,7 @@
     )
 }
 
-fn wish(endpoint: &str, model: &str) -> plan::Move {
+fn load_move(endpoint: &str, model: &str) -> plan::Move {
     plan::Move {
         endpoint: name(endpoint),
         action: endpoint::Action::Load {
@@ -34,8 +34,8 @@
     }
 }
 
-fn wishes() -> Vec<plan::Move> {
-    (0..40).map(|n| wish("a", &format!("m{n}"))).collect()
+fn load_moves() -> Vec<plan::Move> {
+    (0..40).map(|n| load_move("a", &format!("m{n}"))).collect()
 }
 
 fn intents(outputs: &[orders::Output]) -> Vec<endpoint::Order> {
@@ -46,13 +46,13 @@
     intents.collect()
 }
 
-// The leader dies between sending an order and writing it down. Its successor
-// would not know of it. So the first byte goes out after the commit.
+// If the leader fails between sending an order and logging it, its successor doesn't know
+// of the order. So the first byte is sent after the commit.
 #[test]
 fn order_is_sent_only_after_its_intent_is_committed() {
     let mut executor = executor(fixture::ledger(&[]), seconds(0));
 
-    let proposed = executor.step(seconds(1), orders::Input::Plan(vec![wish("a", "m1")]));
+    let proposed = executor.step(seconds(1), orders::Input::Plan(vec![load_move("a", "m1")]));
     let order = intents(&proposed).remove(0);
     let record = journal::Record::Intended {
         order: order.clone(),
@@ -63,8 +63,8 @@
     assert_eq!(sent, vec![orders::Output::Send(order)]);
 }
 
-// After the loss of a failure domain dozens of loads are wanted at once. The
-// store slows down for all of them beyond its rate and its slots.
+// After the loss of a failure domain dozens of loads are wanted at once. Beyond its rate
+// and slots the store slows down for all of them.
 #[test]
 fn store_rate_and_slots_are_kept() {
     let mut executor = executor(fixture::ledger(&[]), seconds(0));
@@ -72,7 +72,7 @@
 
     for tenth in 0..100 {
         let now = duration::Instant(tenth * 100_000);
-        let outputs = executor.step(now, orders::Input::Plan(wishes()));
+        let outputs = executor.step(now, orders::Input::Plan(load_moves()));
         starts.push(intents(&outputs).len());
     }
 
@@ -84,28 +84,31 @@
     assert_eq!(starts.iter().sum::<usize>(), 11);
 }
 
-// Eleven loads were on the way to a failure domain that died. They will never
-// end, and if they held their slots for ever no repair could start.
+// Eleven loads were in flight to a failure domain that failed. They never end, and if
+// they held their slots for ever no repair could start.
 #[test]
-fn loads_towards_the_dead_give_their_slots_back_but_not_their_memory() {
+fn loads_to_failed_endpoints_release_their_slots_but_not_their_memory() {
     let mut executor = executor(fixture::ledger(&[]), seconds(0));
     for tenth in 0..100 {
         let now = duration::Instant(tenth * 100_000);
-        executor.step(now, orders::Input::Plan(wishes()));
+        executor.step(now, orders::Input::Plan(load_moves()));
     }
 
-    let later = executor.step(seconds(60), orders::Input::Plan(vec![wish("c", "m39")]));
+    let later = executor.step(
+        seconds(60),
+        orders::Input::Plan(vec![load_move("c", "m39")]),
+    );
 
     assert_eq!(intents(&later).len(), 1);
     assert_eq!(executor.ledger().accounts()["a"].free(), gib(89));
 }
 
-// An order or its answer is lost. The endpoint never loads and the model stays
-// away, unless the same order is sent again.
+// An order or its answer is lost. The endpoint never loads the model unless the same
+// order is sent again.
 #[test]
 fn unanswered_order_is_sent_again_unchanged() {
     let mut executor = executor(fixture::ledger(&[]), seconds(0));
-    let proposed = executor.step(seconds(1), orders::Input::Plan(vec![wish("a", "m1")]));
+    let proposed = executor.step(seconds(1), orders::Input::Plan(vec![load_move("a", "m1")]));
     let order = intents(&proposed).remove(0);
     let record = journal::Record::Intended {
         order: order.clone(),
@@ -119,19 +122,19 @@
     assert_eq!(late, vec![orders::Output::Send(order)]);
 }
 
-// A deposed leader goes on sending for the rest of its lease. An endpoint that
-// ignores fences would obey both leaders.
+// A deposed leader continues to send for the rest of its lease. An endpoint that ignores
+// fences would obey both leaders.
 #[test]
 fn new_leader_waits_for_endpoints_that_ignore_fences() {
     let mut known = fixture::runner("a", "x");
     known.announcement.checks_fence = false;
     let mut ledger = ledger::Ledger::new(journal::Journal::default(), gib(0));
     ledger.update_endpoint(&known);
-    fixture::show(&mut ledger, &report("a", 1, &[]));
+    fixture::apply(&mut ledger, &report("a", 1, &[]));
     let mut executor = executor(ledger, seconds(10));
 
-    let early = executor.step(seconds(11), orders::Input::Plan(vec![wish("a", "m1")]));
-    let late = executor.step(seconds(12), orders::Input::Plan(vec![wish("a", "m1")]));
+    let early = executor.step(seconds(11), orders::Input::Plan(vec![load_move("a", "m1")]));
+    let late = executor.step(seconds(12), orders::Input::Plan(vec![load_move("a", "m1")]));
 
     assert_eq!((intents(&early).len(), intents(&late).len()), (0, 1));
 }
@@ -139,7 +142,7 @@
 #[test]
 fn report_that_shows_the_result_ends_the_order_once() {
     let mut executor = executor(fixture::ledger(&[]), seconds(0));
-    let proposed = executor.step(seconds(1), orders::Input::Plan(vec![wish("a", "m1")]));
+    let proposed = executor.step(seconds(1), orders::Input::Plan(vec![load_move("a", "m1")]));
     let order = intents(&proposed).remove(0);
     executor.step(
         seconds(1),
--- a/crates/cranberrygap-placement/tests/plan.rs
+++ b/crates/cranberrygap-placement/tests/plan.rs
@@ -29,15 +29,15 @@
 }
 
 fn texts(moves: &[plan::Move]) -> Vec<String> {
-    let text = |wish: &plan::Move| match &wish.action {
-        endpoint::Action::Load { model, .. } => format!("load {model} on {}", wish.endpoint),
-        endpoint::Action::Unload { model } => format!("unload {model} on {}", wish.endpoint),
-        endpoint::Action::Role { role } => format!("{role} on {}", wish.endpoint),
+    let text = |planned: &plan::Move| match &planned.action {
+        endpoint::Action::Load { model, .. } => format!("load {model} on {}", planned.endpoint),
+        endpoint::Action::Unload { model } => format!("unload {model} on {}", planned.endpoint),
+        endpoint::Action::Role { role } => format!("{role} on {}", planned.endpoint),
     };
     moves.iter().map(text).collect()
 }
 
-fn wide(model: &str) -> endpoint::Weights {
+fn model_of_10_gib(model: &str) -> endpoint::Weights {
     weights(model, 10)
 }
 
@@ -45,29 +45,33 @@
 fn model_without_copy_gets_two_in_different_domains() {
     let ledger = fixture::ledger(&[]);
 
-    let moves = moves(&ledger, &catalogue(&[wide("m")]), &[]);
+    let moves = moves(&ledger, &catalogue(&[model_of_10_gib("m")]), &[]);
 
     let domains: Vec<&id::Domain> = moves
         .iter()
-        .map(|wish| &ledger.accounts()[&wish.endpoint].domain)
+        .map(|planned| &ledger.accounts()[&planned.endpoint].domain)
         .collect();
     assert_eq!(moves.len(), 2);
     assert_ne!(domains[0], domains[1]);
 }
 
 #[test]
-fn quiet_fleet_with_two_copies_each_does_not_move() {
+fn fleet_with_enough_copies_is_unchanged() {
     let ledger = fixture::ledger(&[("a", &["m", "n"]), ("c", &["m", "n"])]);
 
-    let moves = moves(&ledger, &catalogue(&[wide("m"), wide("n")]), &[("m", 20.0)]);
+    let moves = moves(
+        &ledger,
+        &catalogue(&[model_of_10_gib("m"), model_of_10_gib("n")]),
+        &[("m", 20.0)],
+    );
 
     assert!(moves.is_empty(), "{:?}", texts(&moves));
 }
 
-// A failure domain is lost with one copy of each model. Until they are back, a
-// second loss would make models unreachable; models with no copy come first.
+// A failure domain with one copy of each model is lost. Until the copies are restored, a
+// second loss would make models unreachable; models without a copy come first.
 #[test]
-fn loss_of_a_domain_is_repaired_by_what_users_lose() {
+fn domain_loss_is_repaired_in_order_of_user_impact() {
     let mut ledger = fixture::ledger(&[("a", &["m"]), ("c", &["m", "n"])]);
     for endpoint in ["c", "d"] {
         ledger.update_endpoint(&view::Endpoint {
@@ -76,32 +80,44 @@
         });
     }
 
-    let moves = moves(&ledger, &catalogue(&[wide("m"), wide("n")]), &[("m", 30.0)]);
+    let moves = moves(
+        &ledger,
+        &catalogue(&[model_of_10_gib("m"), model_of_10_gib("n")]),
+        &[("m", 30.0)],
+    );
 
     assert_eq!(texts(&moves)[0], "load n on b");
 }
 
 #[test]
-fn pressed_model_gets_a_copy_on_an_idle_runner() {
+fn overloaded_model_gets_a_copy_on_an_idle_runner() {
     let ledger = fixture::ledger(&[("a", &["m"]), ("c", &["m"])]);
 
-    let moves = moves(&ledger, &catalogue(&[wide("m")]), &[("m", 75.0)]);
+    let moves = moves(&ledger, &catalogue(&[model_of_10_gib("m")]), &[("m", 75.0)]);
 
     assert!(!moves.is_empty());
     let targets = ["b", "d"].map(name::<id::Endpoint>);
-    assert!(moves.iter().all(|wish| targets.contains(&wish.endpoint)));
+    assert!(
+        moves
+            .iter()
+            .all(|planned| targets.contains(&planned.endpoint))
+    );
 }
 
 #[test]
 fn adapters_follow_their_base_model() {
     let ledger = fixture::ledger(&[("a", &["m"]), ("c", &["m"])]);
 
-    let moves = moves(&ledger, &catalogue(&[wide("m"), adapter("t", "m")]), &[]);
+    let moves = moves(
+        &ledger,
+        &catalogue(&[model_of_10_gib("m"), adapter("t", "m")]),
+        &[],
+    );
 
     assert_eq!(texts(&moves), ["load t on a", "load t on c"]);
 }
 
-// A new version is rolled out. If the old one went first, callers of the name
+// A new version is rolled out. If the old one were unloaded first, callers of the name
 // would be refused until the load ends.
 #[test]
 fn old_version_goes_after_the_new_one_serves() {
@@ -112,7 +128,7 @@
 
     let unloads = |ledger: &ledger::Ledger| {
         let moves = moves(ledger, &known, &[]);
-        let retired = |wish: &&plan::Move| wish.reason == plan::Reason::Retired;
+        let retired = |planned: &&plan::Move| planned.reason == plan::Reason::Retired;
         moves.iter().filter(retired).count()
     };
 
@@ -122,21 +138,22 @@
     );
 }
 
-// The fleet is full when a domain dies, and a model is left without a copy. A
-// second copy of another model has to make room, never a last one.
+// The fleet is full when a failure domain is lost, and a model is left without a copy. A
+// second copy of another model is evicted for it, never a last one.
 #[test]
-fn second_copies_make_room_for_a_lost_model() {
-    let full: Vec<String> = (0..10).map(|n| format!("m{n}")).collect();
-    let full: Vec<&str> = full.iter().map(String::as_str).collect();
-    let mut ledger = fixture::ledger(&[("a", &full), ("b", &full)]);
+fn second_copies_are_evicted_for_a_lost_model() {
+    let names: Vec<String> = (0..10).map(|n| format!("m{n}")).collect();
+    let names: Vec<&str> = names.iter().map(String::as_str).collect();
+    let mut ledger = fixture::ledger(&[("a", &names), ("b", &names)]);
     for endpoint in ["c", "d"] {
         ledger.update_endpoint(&view::Endpoint {
             health: view::Health::Gone,
             ..fixture::runner(endpoint, "y")
         });
     }
-    let mut list: Vec<endpoint::Weights> = full.iter().map(|model| wide(model)).collect();
-    list.push(wide("lost"));
+    let mut list: Vec<endpoint::Weights> =
+        names.iter().map(|model| model_of_10_gib(model)).collect();
+    list.push(model_of_10_gib("lost"));
 
     let known = catalogue(&list);
     let moves = moves(&ledger, &known, &[("m0", 9.0)]);
