--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -348,7 +348,7 @@
         let shown = inner.nodes.iter().map(|(name, node)| {
             let state = serde_json::json!({
                 "ready": node.ready, "models": node.models, "adapters": node.adapters,
-                "retiring": node.retiring, "unread": node.own.unread, "running": node.own.running,
+                "retiring": node.retiring, "unread": node.own.queued_micros, "running": node.own.running,
             });
             (name.to_string(), state)
         });
--- a/crates/cranberrygap-routing/src/lib.rs
+++ b/crates/cranberrygap-routing/src/lib.rs
@@ -1,10 +1,13 @@
 //! Routing decisions without I/O: load, prefix affinity, latency targets.
 //!
-//! Each entry has one [`router::Router`]. It chooses among the endpoints that
-//! have the model by corrected load ([`load`]), the batch that keeps the
-//! latency targets ([`batch`]) and the expected prefix hit ([`prefix`]). What
-//! finds no seat waits in [`pending`], at the entry rather than the engine,
-//! where it can still be reordered or sent elsewhere.
+//! Each entry has one [`router::Router`]. It chooses among the endpoints that have the
+//! model by corrected load ([`load`]), the batch size that keeps the latency targets
+//! ([`batch`]) and the expected prefix hit ([`prefix`]). Requests without a free slot
+//! wait in [`pending`], at the entry rather than the engine, where they can still be
+//! reordered or sent elsewhere.
+//!
+//! [`prompt`] chooses among the engines of a service by the predicted time to the first
+//! event.
 
 pub mod batch;
 pub mod load;
--- a/crates/cranberrygap-routing/src/load.rs
+++ b/crates/cranberrygap-routing/src/load.rs
@@ -1,25 +1,23 @@
-//! One endpoint's load as an entry can know it.
+//! Load estimate of one endpoint, as an entry can know it.
 
 use std::collections::VecDeque;
 
 use cranberrygap_model::duration;
 
-/// Reported load, corrected by what this entry did since the report's time.
+/// Reported load, corrected by what this entry sent and finished since the report.
 ///
-/// Reports lag. Taken as they are, the endpoint that was idle a moment ago
-/// would get every request until the next report; one would notice batches
-/// that swing between full and empty. Counting what was sent since removes the
-/// swing.
+/// Reports lag. Without the correction, the endpoint that was idle a moment ago would get
+/// every request until the next report, and batches would swing between full and empty.
 #[derive(Debug, Clone, Default)]
 pub struct Estimate {
-    own: u32,
-    reported: Option<Figure>,
+    own_requests: u32,
+    snapshot: Option<Snapshot>,
     changes: VecDeque<Change>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Figure {
-    taken: duration::Instant,
+struct Snapshot {
+    taken_at: duration::Instant,
     requests: u32,
 }
 
@@ -29,59 +27,62 @@
     amount: i64,
 }
 
-/// Changes that are kept while no report comes.
-const MOST_CHANGES: usize = 4096;
+/// Maximum number of changes kept while no report arrives.
+const MAX_CHANGES: usize = 4096;
 
 impl Estimate {
-    /// A request was sent to the endpoint.
+    /// Records a request that was sent to the endpoint.
     pub fn record_sent(&mut self, now: duration::Instant) {
-        self.own += 1;
-        self.change(now, 1);
+        self.own_requests += 1;
+        self.record_change(now, 1);
     }
 
-    /// A request at the endpoint came to its end.
+    /// Records the end of a request at the endpoint.
     pub fn record_ended(&mut self, now: duration::Instant) {
-        self.own = self.own.saturating_sub(1);
-        self.change(now, -1);
+        self.own_requests = self.own_requests.saturating_sub(1);
+        self.record_change(now, -1);
     }
 
-    /// The endpoint reported its running and waiting requests, `age` ago.
+    /// Applies a report of running and waiting requests, made `age` ago.
     pub fn apply_report(&mut self, now: duration::Instant, age: duration::Span, requests: u32) {
-        let taken = duration::Instant(now.0.saturating_sub(age.0));
-        if self.reported.is_some_and(|figure| figure.taken > taken) {
+        let taken_at = duration::Instant(now.0.saturating_sub(age.0));
+        if self
+            .snapshot
+            .is_some_and(|snapshot| snapshot.taken_at > taken_at)
+        {
             return;
         }
-        self.reported = Some(Figure { taken, requests });
+        self.snapshot = Some(Snapshot { taken_at, requests });
         while self
             .changes
             .front()
-            .is_some_and(|change| change.at <= taken)
+            .is_some_and(|change| change.at <= taken_at)
         {
             self.changes.pop_front();
         }
     }
 
-    /// Requests of this entry that the endpoint has.
+    /// Number of this entry's requests at the endpoint.
     #[must_use]
     pub fn own_requests(&self) -> u32 {
-        self.own
+        self.own_requests
     }
 
-    /// Requests of all entries that the endpoint has, as well as can be known.
+    /// Estimated number of requests of all entries at the endpoint.
     #[must_use]
     pub fn requests(&self) -> u32 {
-        let Some(figure) = self.reported else {
-            return self.own;
+        let Some(snapshot) = self.snapshot else {
+            return self.own_requests;
         };
-        let since: i64 = self.changes.iter().map(|change| change.amount).sum();
-        let corrected = i64::from(figure.requests) + since;
+        let net_change: i64 = self.changes.iter().map(|change| change.amount).sum();
+        let corrected = i64::from(snapshot.requests) + net_change;
         let corrected = u32::try_from(corrected.max(0)).unwrap_or(u32::MAX);
-        corrected.max(self.own)
+        corrected.max(self.own_requests)
     }
 
-    fn change(&mut self, at: duration::Instant, amount: i64) {
+    fn record_change(&mut self, at: duration::Instant, amount: i64) {
         self.changes.push_back(Change { at, amount });
-        if self.changes.len() > MOST_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
--- a/crates/cranberrygap-routing/src/pending.rs
+++ b/crates/cranberrygap-routing/src/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at an entry for a seat or a load.
+//! Requests that wait at an entry for a slot or a load.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,59 +7,59 @@
 /// One waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub request: id::Request,
     /// The model or adapter.
     pub model: id::Model,
-    /// Who asks.
+    /// The workspace that sent it.
     pub workspace: id::Workspace,
-    /// When it came.
+    /// When it arrived.
     pub arrived: duration::Instant,
     /// When its caller gives up.
     pub deadline: duration::Instant,
 }
 
-/// Whether a request's first token can still come in time.
+/// Whether a request's first token can still arrive in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
     /// It can.
     Timely,
-    /// It can no longer.
+    /// It no longer can.
     Late,
 }
 
 impl Request {
-    /// Whether so much of the time until its deadline is gone that it should
-    /// run even where that makes a batch too large for the latency targets.
+    /// Whether so much of the time until its deadline has passed that the request should
+    /// run even if its batch becomes too large for the latency targets.
     ///
-    /// Under overload late requests would wait behind all timely ones until
-    /// their deadline, and be refused although their workspace is within its
-    /// rate. A third of the time leaves the rest for a slow answer.
+    /// Under overload late requests would wait behind all timely ones until their
+    /// deadline, and be refused although their workspace is within its rate. A third of
+    /// the time leaves the rest for a slow answer.
     #[must_use]
     pub fn is_urgent(&self, now: duration::Instant) -> bool {
         let whole = self.deadline.since(self.arrived);
-        now.since(self.arrived).0 > whole.0 / URGENT_PART
+        now.since(self.arrived).0 > whole.0 / URGENT_DIVISOR
     }
 }
 
-/// Part of the time until the deadline after which a request is urgent.
-const URGENT_PART: u64 = 3;
+/// Divisor of the time until the deadline after which a request is urgent.
+const URGENT_DIVISOR: u64 = 3;
 
 /// Waiting requests of one model, fair among workspaces.
 ///
-/// A request whose first token can still come in time goes before those that
-/// are late already. First come, first served would do the contrary: after a
-/// burst every request would be a little late, and none would attain.
+/// A request whose first token can still arrive in time goes before those that are late
+/// already. First come, first served would do the opposite: after a burst every request
+/// would be a little late, and none would be in time.
 #[derive(Debug, Clone)]
 pub struct Queue {
     first_token: duration::Span,
-    lines: BTreeMap<id::Workspace, Line>,
+    workspaces: BTreeMap<id::Workspace, WorkspaceQueue>,
     earliest: duration::Instant,
 }
 
-/// Waiting requests of one workspace, each part in order of arrival.
+/// Waiting requests of one workspace, by class and in order of arrival.
 #[derive(Debug, Clone, Default)]
-struct Line {
+struct WorkspaceQueue {
     timely: VecDeque<Request>,
     late: VecDeque<Request>,
 }
@@ -67,51 +67,55 @@
 const NEVER: duration::Instant = duration::Instant(u64::MAX);
 
 impl Queue {
-    /// A queue for a target time to the first token.
+    /// Creates a queue for a target time to the first token.
     #[must_use]
     pub fn new(first_token: duration::Span) -> Self {
         Self {
             first_token,
-            lines: BTreeMap::new(),
+            workspaces: BTreeMap::new(),
             earliest: NEVER,
         }
     }
 
     /// Adds a request.
-    pub fn push(&mut self, waiting: Request) {
-        self.earliest = self.earliest.min(waiting.deadline);
-        let line = self.lines.entry(waiting.workspace.clone()).or_default();
-        line.timely.push_back(waiting);
+    pub fn push(&mut self, request: Request) {
+        self.earliest = self.earliest.min(request.deadline);
+        let queue = self
+            .workspaces
+            .entry(request.workspace.clone())
+            .or_default();
+        queue.timely.push_back(request);
     }
 
     /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.lines.values().map(Line::len).sum()
+        self.workspaces.values().map(WorkspaceQueue::len).sum()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes out all whose deadline has come; their final answer is due at once.
+    /// Takes out all requests whose deadline has passed; their final answer is due at
+    /// once.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<Request> {
         if now < self.earliest {
             return Vec::new();
         }
         let mut expired = Vec::new();
         let mut earliest = NEVER;
-        for line in self.lines.values_mut() {
-            for part in [&mut line.timely, &mut line.late] {
-                let all = std::mem::take(part);
-                let (gone, kept): (VecDeque<_>, VecDeque<_>) =
+        for queue in self.workspaces.values_mut() {
+            for class_queue in [&mut queue.timely, &mut queue.late] {
+                let all = std::mem::take(class_queue);
+                let (due, kept): (VecDeque<_>, VecDeque<_>) =
                     all.into_iter().partition(|waiting| waiting.deadline <= now);
-                expired.extend(gone);
+                expired.extend(due);
                 let first = kept.iter().map(|waiting| waiting.deadline).min();
                 earliest = earliest.min(first.unwrap_or(NEVER));
-                *part = kept;
+                *class_queue = kept;
             }
         }
         self.earliest = earliest;
@@ -120,33 +124,38 @@
 
     /// The next request of a class.
     ///
-    /// `served` is each workspace's virtual token counter: least served first.
+    /// `served` is the virtual token counter of each workspace; the least served goes
+    /// first.
     pub fn next(
         &mut self,
         now: duration::Instant,
         class: Class,
         served: &BTreeMap<id::Workspace, f64>,
     ) -> Option<&Request> {
-        for line in self.lines.values_mut() {
-            line.age(now, self.first_token);
+        for queue in self.workspaces.values_mut() {
+            queue.move_late_requests(now, self.first_token);
         }
-        let of = |waiting: &&Request| served.get(&waiting.workspace).copied().unwrap_or_default();
-        let fronts = self.lines.values().filter_map(|line| line.front(class));
-        fronts.min_by(|a, b| of(a).total_cmp(&of(b)))
+        let served_tokens =
+            |waiting: &&Request| served.get(&waiting.workspace).copied().unwrap_or_default();
+        let fronts = self
+            .workspaces
+            .values()
+            .filter_map(|queue| queue.front(class));
+        fronts.min_by(|a, b| served_tokens(a).total_cmp(&served_tokens(b)))
     }
 
     /// Removes a request that was sent or cancelled.
     pub fn remove(&mut self, workspace: &id::Workspace, request: &id::Request) -> Option<Request> {
-        let line = self.lines.get_mut(workspace)?;
-        let waiting = line.remove(request)?;
-        if line.len() == 0 {
-            self.lines.remove(workspace);
+        let queue = self.workspaces.get_mut(workspace)?;
+        let waiting = queue.remove(request)?;
+        if queue.len() == 0 {
+            self.workspaces.remove(workspace);
         }
         Some(waiting)
     }
 }
 
-impl Line {
+impl WorkspaceQueue {
     fn front(&self, class: Class) -> Option<&Request> {
         match class {
             Class::Timely => self.timely.front(),
@@ -158,8 +167,9 @@
         self.timely.len() + self.late.len()
     }
 
-    /// Moves those whose first token can no longer come in time.
-    fn age(&mut self, now: duration::Instant, first_token: duration::Span) {
+    /// Moves the requests to the late class whose first token can no longer arrive in
+    /// time.
+    fn move_late_requests(&mut self, now: duration::Instant, first_token: duration::Span) {
         while let Some(first) = self.timely.front() {
             if now.since(first.arrived) < first_token {
                 return;
@@ -169,10 +179,12 @@
     }
 
     fn remove(&mut self, request: &id::Request) -> Option<Request> {
-        for part in [&mut self.timely, &mut self.late] {
-            let position = part.iter().position(|waiting| waiting.request == *request);
+        for class_queue in [&mut self.timely, &mut self.late] {
+            let position = class_queue
+                .iter()
+                .position(|waiting| waiting.request == *request);
             if let Some(position) = position {
-                return part.remove(position);
+                return class_queue.remove(position);
             }
         }
         None
--- a/crates/cranberrygap-routing/src/prefix.rs
+++ b/crates/cranberrygap-routing/src/prefix.rs
@@ -1,15 +1,15 @@
-//! Which prompt prefixes an engine has in its cache.
+//! Which prompt prefixes an engine has in its cache, from its cache events.
 
 use std::collections::BTreeSet;
 
 use cranberrygap_model::{id, number};
 use cranberrygap_wire::endpoint;
 
-/// The blocks of one endpoint's prefix cache, from its events.
+/// The blocks of one endpoint's prefix cache.
 ///
-/// Events come late and with gaps. After a gap a block may have been evicted
-/// without notice; requests would go where nothing is cached any more. So a
-/// gap empties the index, and what later events store fills it again.
+/// Events arrive late and with gaps. After a gap a block may have been evicted without
+/// notice, and requests would go where nothing is cached any more. So a gap empties the
+/// index, and later events fill it again.
 #[derive(Debug, Clone, Default)]
 pub struct Index {
     boot: Option<number::Boot>,
@@ -17,18 +17,18 @@
     blocks: BTreeSet<(id::Model, u64)>,
 }
 
-/// Blocks kept for one endpoint; a bound on memory, not on the engine's cache.
-const MOST_BLOCKS: usize = 200_000;
+/// Maximum number of blocks kept for one endpoint; bounds memory, not the engine's cache.
+const MAX_BLOCKS: usize = 200_000;
 
 impl Index {
-    /// The sequence after which events are to be asked for.
+    /// Sequence number after which events are to be requested.
     #[must_use]
     pub fn sequence(&self) -> number::Sequence {
         self.sequence
     }
 
-    /// Uses the events of a report; tells whether any were lost.
-    pub fn observe(&mut self, report: &endpoint::Report) -> bool {
+    /// Applies the events of a report; returns whether any were lost.
+    pub fn apply_report(&mut self, report: &endpoint::Report) -> bool {
         if self.boot != Some(report.boot) {
             self.blocks.clear();
             self.sequence = number::Sequence::default();
@@ -36,7 +36,7 @@
         }
         let mut lost = false;
         for event in &report.events {
-            lost |= self.apply(event);
+            lost |= self.apply_event(event);
         }
         if report.sequence > self.sequence {
             lost = true;
@@ -48,12 +48,12 @@
 
     /// Number of leading blocks of a prompt that are cached.
     #[must_use]
-    pub fn hit(&self, model: &id::Model, prompt: &[u64]) -> usize {
+    pub fn cached_blocks(&self, model: &id::Model, prompt: &[u64]) -> usize {
         let cached = |block: &&u64| self.blocks.contains(&(model.clone(), **block));
         prompt.iter().take_while(cached).count()
     }
 
-    fn apply(&mut self, event: &endpoint::CacheEvent) -> bool {
+    fn apply_event(&mut self, event: &endpoint::CacheEvent) -> bool {
         let sequence = sequence(event);
         if sequence <= self.sequence {
             return false;
@@ -65,7 +65,7 @@
         self.sequence = sequence;
         match event {
             endpoint::CacheEvent::Stored { model, block, .. } => {
-                if self.blocks.len() < MOST_BLOCKS {
+                if self.blocks.len() < MAX_BLOCKS {
                     self.blocks.insert((model.clone(), *block));
                 }
             }
--- a/crates/cranberrygap-routing/src/prompt.rs
+++ b/crates/cranberrygap-routing/src/prompt.rs
@@ -1,10 +1,9 @@
 //! Chooses an engine by the time to the first event of a stream.
 //!
-//! An engine reads prompts one after the other, between the tokens of the streams
-//! that it runs. What makes a first event late is the number of prompt tokens
-//! that wait to be read there, so that is what is counted: own sends exactly,
-//! those of other entries by what they tell, and of the request itself what the
-//! engine does not keep already.
+//! An engine prefills prompts one after the other, between the tokens of the streams that
+//! it runs. The first event is late because of the prompt tokens that wait for prefill,
+//! so those are counted: the entry's own sends exactly, those of other entries by what
+//! they publish, and of the request itself what the engine does not have cached.
 
 pub mod backlog;
 pub mod latency;
--- a/crates/cranberrygap-routing/src/prompt/backlog.rs
+++ b/crates/cranberrygap-routing/src/prompt/backlog.rs
@@ -3,57 +3,60 @@
 use cranberrygap_model::duration;
 use serde::{Deserialize, Serialize};
 
-/// Ranks that are told apart; less urgent ones count as the last.
+/// Number of distinct ranks; less urgent ones count as the last.
 pub const RANKS: usize = 4;
 
-/// Time that the reading of waiting prompts takes, by rank, and streams that run.
+/// Prefill time of waiting prompts by rank, and the number of running requests.
 ///
-/// Time, and not tokens: an engine reads the prompts of all its models one after the
-/// other, and one model's tokens take it four times as long as another's.
+/// The backlog counts time rather than tokens: an engine prefills the prompts of all its
+/// models one after the other, and one model's tokens take four times as long as
+/// another's.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backlog {
-    /// Microseconds of reading sent whose first event has not come, by rank.
-    pub unread: [u32; RANKS],
-    /// Requests sent that have not ended.
+    /// Prefill time in microseconds of sent requests whose first event has not arrived,
+    /// by rank.
+    #[serde(rename = "unread")]
+    pub queued_micros: [u32; RANKS],
+    /// Number of sent requests that have not ended.
     pub running: u32,
 }
 
 impl Backlog {
-    /// Counts a request of `rank` whose prompt takes `reading` microseconds.
-    pub fn add(&mut self, rank: usize, reading: u32) {
-        let waiting = &mut self.unread[rank.min(RANKS - 1)];
-        *waiting = waiting.saturating_add(reading);
+    /// Adds a request of `rank` whose prefill takes `prefill_micros` microseconds.
+    pub fn add(&mut self, rank: usize, prefill_micros: u32) {
+        let waiting = &mut self.queued_micros[rank.min(RANKS - 1)];
+        *waiting = waiting.saturating_add(prefill_micros);
         self.running = self.running.saturating_add(1);
     }
 
-    /// Its prompt was read.
-    pub fn finish_prefill(&mut self, rank: usize, reading: u32) {
-        let waiting = &mut self.unread[rank.min(RANKS - 1)];
-        *waiting = waiting.saturating_sub(reading);
+    /// Removes the prefill of a request whose first event has arrived.
+    pub fn finish_prefill(&mut self, rank: usize, prefill_micros: u32) {
+        let waiting = &mut self.queued_micros[rank.min(RANKS - 1)];
+        *waiting = waiting.saturating_sub(prefill_micros);
     }
 
-    /// It has ended.
+    /// Removes a request that has ended.
     pub fn finish_request(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Time that an engine reads before a request of `rank`.
+    /// Prefill time that comes before a request of `rank`.
     #[must_use]
     pub fn prefill_ahead(&self, rank: usize) -> duration::Span {
-        let ranks = self.unread.iter().take(rank.min(RANKS - 1) + 1);
+        let ranks = self.queued_micros.iter().take(rank.min(RANKS - 1) + 1);
         duration::Span(ranks.map(|micros| u64::from(*micros)).sum())
     }
 
-    /// Time that the reading of all that waits takes.
+    /// Prefill time of all waiting prompts.
     #[must_use]
     pub fn total_prefill(&self) -> duration::Span {
         self.prefill_ahead(RANKS - 1)
     }
 
-    /// Both tallies together.
+    /// The sum of both backlogs.
     #[must_use]
     pub fn combined(mut self, other: &Self) -> Self {
-        for (own, others) in self.unread.iter_mut().zip(other.unread) {
+        for (own, others) in self.queued_micros.iter_mut().zip(other.queued_micros) {
             *own = own.saturating_add(others);
         }
         self.running = self.running.saturating_add(other.running);
--- a/crates/cranberrygap-routing/src/prompt/latency.rs
+++ b/crates/cranberrygap-routing/src/prompt/latency.rs
@@ -1,9 +1,9 @@
-//! What requests for one model take at an engine, learned from what comes back.
+//! Estimates how long requests for a model take at an engine, learned from their answers.
 //!
-//! Engines of different customers read prompts and generate tokens at speeds that differ
-//! several times over, and so do the models at one engine; nobody tells them. Figures of
-//! one customer in the code made an entry refuse at another one what its engines would
-//! have begun within half the objective.
+//! Engines of different customers differ several times over in the speed of prefill and
+//! of generation, and so do the models at one engine; no one configures these speeds.
+//! With figures of one customer in the code, an entry refused at another one requests
+//! that its engines would have begun within half the objective.
 
 use std::collections::BTreeMap;
 
@@ -11,218 +11,240 @@
 
 use super::backlog;
 
-/// Part of the observations that should lie below an estimate. Queues that this entry does
-/// not see lengthen what it observes, and parts of prompts that it did not know to be kept
-/// shorten it, which is the worse mistake: engines that are taken for quick get too much.
-const BELOW: f64 = 0.6;
+/// Share of the observations that should lie below an estimate. Queues that this entry
+/// doesn't see lengthen what it observes, and prompt parts that it didn't know to be
+/// cached shorten it. The latter is the worse mistake: engines that are taken for fast
+/// get too much.
+const QUANTILE: f64 = 0.6;
 
-/// Step of an estimate for each observation, in logarithms, at first and later. With it
-/// a pace that is half or twice of what is assumed is learned within 20 observations, and
-/// one stall of any length moves an estimate by 6%.
-const FIRST_STEP: f64 = 0.2;
+/// Logarithmic steps of an estimate per observation, at first and later. With them an
+/// estimate that is off by a factor of two is corrected within 20 observations, and one
+/// stall of any length moves an estimate by 6%.
+const INITIAL_STEP: f64 = 0.2;
 const STEP: f64 = 0.06;
 
-/// Observations after which the small step is used.
-const SETTLED: u32 = 12;
+/// Number of observations after which the small step is used.
+const INITIAL_OBSERVATIONS: u32 = 12;
 
-/// Prompt tokens below which the time to the first event says little of reading.
-const TELLING: u64 = 600;
+/// Number of prompt tokens below which the time to the first event says little about
+/// prefill.
+const MIN_PREFILL_TOKENS: u64 = 600;
 
-/// How much of its own reading, in tenths, that before a request may take for it to teach
-/// the speed of reading. What waits elsewhere is known late: most of a long queue
-/// has been read by the time it is counted, and engines looked twice as fast as they are.
-const OTHERS_TENTHS: u64 = 3;
+/// Maximum prefill time ahead of a request, in tenths of its own, for which it updates
+/// the prefill estimate. The queue at other entries is known late: most of a long queue
+/// has been prefilled by the time it is counted, and engines looked twice as fast as they
+/// are.
+const MAX_AHEAD_TENTHS: u64 = 3;
 
 /// Weight of an observation in a mean.
-const PART: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 
-/// Bounds of an estimate, in microseconds, so that a clock that lies does no lasting harm.
-const LEAST: f64 = 0.5;
-const MOST: f64 = 30_000_000.0;
+/// Bounds of an estimate, in microseconds, so that a wrong clock does no lasting harm.
+const MIN_MICROS: f64 = 0.5;
+const MAX_MICROS: f64 = 30_000_000.0;
 
-/// What is assumed before anything was observed: a slow engine, in microseconds.
-const FIRST_READ: f64 = 50.0;
-const FIRST_EVENT: f64 = 24_000.0;
-const FIRST_TOKEN: f64 = 7_500.0;
+/// Initial estimates, in microseconds: those of a slow engine.
+const INITIAL_PREFILL_MICROS: f64 = 50.0;
+const INITIAL_EVENT_MICROS: f64 = 24_000.0;
+const INITIAL_TOKEN_MICROS: f64 = 7_500.0;
 
-/// An estimate that follows a quantile of what is observed.
+/// An estimate that follows a quantile of the observations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Quantile {
     micros: f64,
-    seen: u32,
+    observations: u32,
 }
 
 impl Quantile {
     const fn new(micros: f64) -> Self {
-        Self { micros, seen: 0 }
+        Self {
+            micros,
+            observations: 0,
+        }
     }
 
-    fn learn(&mut self, observed: f64) {
-        self.seen = self.seen.saturating_add(1);
-        let step = if self.seen < SETTLED {
-            FIRST_STEP
+    fn observe(&mut self, observed: f64) {
+        self.observations = self.observations.saturating_add(1);
+        let step = if self.observations < INITIAL_OBSERVATIONS {
+            INITIAL_STEP
         } else {
             STEP
         };
-        // In balance when the part BELOW of the observations is below the estimate.
+        // In balance when the share QUANTILE of the observations is below the estimate.
         let factor = if observed > self.micros {
-            step * BELOW / 0.5
+            step * QUANTILE / 0.5
         } else {
-            -step * (1.0 - BELOW) / 0.5
+            -step * (1.0 - QUANTILE) / 0.5
         };
-        self.micros = (self.micros * factor.exp()).clamp(LEAST, MOST);
+        self.micros = (self.micros * factor.exp()).clamp(MIN_MICROS, MAX_MICROS);
     }
 }
 
-/// Speeds of one model at the engines of a service.
+/// Latency estimate of one model at the engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// Time for each prompt token.
-    read: Quantile,
-    /// Time between two events of a stream beside which little is read.
-    event: Quantile,
-    /// Time for each token that the caller allows as output, a mean.
-    token: f64,
-    /// Time from the first event to the end, a mean.
-    answer: f64,
-    answers: u32,
+    /// Prefill time per prompt token.
+    prefill_per_token: Quantile,
+    /// Time between two events of a stream while little is prefilled.
+    event_interval: Quantile,
+    /// Mean time per token that the caller allows as output.
+    output_per_token: f64,
+    /// Mean time from the first event to the end.
+    answer_time: f64,
+    answer_count: u32,
 }
 
 impl Default for Estimate {
     fn default() -> Self {
         Self {
-            read: Quantile::new(FIRST_READ),
-            event: Quantile::new(FIRST_EVENT),
-            token: FIRST_TOKEN,
-            answer: 0.0,
-            answers: 0,
+            prefill_per_token: Quantile::new(INITIAL_PREFILL_MICROS),
+            event_interval: Quantile::new(INITIAL_EVENT_MICROS),
+            output_per_token: INITIAL_TOKEN_MICROS,
+            answer_time: 0.0,
+            answer_count: 0,
         }
     }
 }
 
 impl Estimate {
-    /// Time in which an engine reads so many tokens.
+    /// Time in which an engine prefills this number of tokens.
     #[must_use]
     pub fn prefill_time(&self, tokens: u64) -> duration::Span {
-        span(tokens as f64 * self.read.micros)
+        from_micros(tokens as f64 * self.prefill_per_token.micros)
     }
 
     /// Time between two events of a stream.
     #[must_use]
     pub fn event_interval(&self) -> duration::Span {
-        span(self.event.micros)
+        from_micros(self.event_interval.micros)
     }
 
     /// Expected time from the first event to the end of an answer.
     #[must_use]
     pub fn answer_time(&self, output: u64) -> duration::Span {
-        span(output as f64 * self.token)
+        from_micros(output as f64 * self.output_per_token)
     }
 
-    /// Time of one engine that a request takes: its prompt is read alone, and while it
+    /// Engine time that a request takes: its prompt is prefilled alone, and while it
     /// generates it takes one of the `slots` of the batch.
     #[must_use]
     pub fn engine_time(&self, prompt: u64, output: u64, slots: u32) -> duration::Span {
-        let seat = output as f64 * self.token / f64::from(slots.max(1));
-        span(prompt as f64 * self.read.micros + seat)
+        let slot_time = output as f64 * self.output_per_token / f64::from(slots.max(1));
+        from_micros(prompt as f64 * self.prefill_per_token.micros + slot_time)
     }
 
-    /// Predicted time until the first event of a request with `fresh` tokens to read.
+    /// Predicted time until the first event of a request with `uncached_tokens` to
+    /// prefill.
     #[must_use]
     pub fn time_to_first_event(
         &self,
-        tally: &backlog::Backlog,
+        backlog: &backlog::Backlog,
         rank: usize,
-        fresh: u64,
+        uncached_tokens: u64,
         slots: u32,
     ) -> duration::Span {
-        let reading = tally.prefill_ahead(rank).0 + self.prefill_time(fresh).0;
-        let waiting = self.seat_wait(tally.running, slots);
-        duration::Span(reading + self.event_interval().0 + waiting.0)
+        let prefill = backlog.prefill_ahead(rank).0 + self.prefill_time(uncached_tokens).0;
+        let wait = self.slot_wait(backlog.running, slots);
+        duration::Span(prefill + self.event_interval().0 + wait.0)
     }
 
-    /// Time until one of the batch ends and leaves its place, when all are taken.
-    fn seat_wait(&self, running: u32, slots: u32) -> duration::Span {
-        let before = (running + 1).saturating_sub(slots);
-        if slots == 0 || before == 0 {
+    /// Time until a request of the batch ends and frees its slot, if all slots are taken.
+    fn slot_wait(&self, running: u32, slots: u32) -> duration::Span {
+        let ahead = (running + 1).saturating_sub(slots);
+        if slots == 0 || ahead == 0 {
             return duration::Span(0);
         }
-        span(f64::from(before) * self.answer / f64::from(slots))
+        from_micros(f64::from(ahead) * self.answer_time / f64::from(slots))
     }
 
-    fn learn_first(&mut self, before: duration::Span, fresh: u64, took: duration::Span) {
-        if fresh < TELLING || before.0 > self.prefill_time(fresh).0 / 10 * OTHERS_TENTHS {
+    fn observe_first_event(
+        &mut self,
+        prefill_ahead: duration::Span,
+        uncached_tokens: u64,
+        took: duration::Span,
+    ) {
+        if uncached_tokens < MIN_PREFILL_TOKENS
+            || prefill_ahead.0 > self.prefill_time(uncached_tokens).0 / 10 * MAX_AHEAD_TENTHS
+        {
             return;
         }
-        let others = before.0 as f64 + self.event.micros;
-        let reading = (took.0 as f64 - others).max(0.0);
-        self.read.learn(reading / fresh as f64);
+        let other_time = prefill_ahead.0 as f64 + self.event_interval.micros;
+        let prefill = (took.0 as f64 - other_time).max(0.0);
+        self.prefill_per_token
+            .observe(prefill / uncached_tokens as f64);
     }
 
-    fn learn_pause(&mut self, pause: duration::Span) {
-        self.event.learn(pause.0 as f64);
+    fn observe_event_interval(&mut self, interval: duration::Span) {
+        self.event_interval.observe(interval.0 as f64);
     }
 
-    fn learn_answer(&mut self, output: u64, took: duration::Span) {
+    fn observe_answer(&mut self, output: u64, took: duration::Span) {
         let took = took.0 as f64;
-        self.answers = self.answers.saturating_add(1);
-        // The first few count as their plain mean.
-        let part = PART.max(1.0 / f64::from(self.answers));
-        self.answer += (took - self.answer) * part;
-        let token = (took / output.max(1) as f64).clamp(LEAST, MOST);
-        self.token += (token - self.token) * part;
+        self.answer_count = self.answer_count.saturating_add(1);
+        // The first few observations count as their plain mean.
+        let weight = MEAN_WEIGHT.max(1.0 / f64::from(self.answer_count));
+        self.answer_time += (took - self.answer_time) * weight;
+        let per_token = (took / output.max(1) as f64).clamp(MIN_MICROS, MAX_MICROS);
+        self.output_per_token += (per_token - self.output_per_token) * weight;
     }
 }
 
-fn span(micros: f64) -> duration::Span {
+fn from_micros(micros: f64) -> duration::Span {
     duration::Span(1).scaled(micros)
 }
 
-/// Paces of all models of all services; one that was not met goes by its service.
+/// Latency estimates of all models of all services; an unknown model has its service's
+/// estimate.
 #[derive(Debug, Clone, Default)]
 pub struct Estimator {
-    services: BTreeMap<id::Service, Known>,
+    services: BTreeMap<id::Service, ServiceEstimates>,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Known {
-    all: Estimate,
+struct ServiceEstimates {
+    default: Estimate,
     models: BTreeMap<id::Model, Estimate>,
 }
 
 impl Estimator {
-    /// What is known of a model.
+    /// The estimate for a model.
     #[must_use]
     pub fn estimate(&self, service: &id::Service, model: &id::Model) -> Estimate {
-        let known = self.services.get(service);
-        let pace = known.map(|known| known.models.get(model).unwrap_or(&known.all));
-        pace.copied().unwrap_or_default()
+        let estimates = self.services.get(service);
+        let estimate =
+            estimates.map(|estimates| estimates.models.get(model).unwrap_or(&estimates.default));
+        estimate.copied().unwrap_or_default()
     }
 
-    /// The first event came `took` after a request with `fresh` prompt tokens to read was
-    /// sent, behind prompts that take `before`, to an engine with a free place.
+    /// Records the first event of a request with `uncached_tokens`, `took` after it was
+    /// sent to an engine with a free slot, behind prompts that take `prefill_ahead`.
     pub fn observe_first_event(
         &mut self,
         service: &id::Service,
         model: &id::Model,
-        before: duration::Span,
-        fresh: u64,
+        prefill_ahead: duration::Span,
+        uncached_tokens: u64,
         took: duration::Span,
     ) {
-        self.each(service, model, |pace| pace.learn_first(before, fresh, took));
+        self.update(service, model, |estimate| {
+            estimate.observe_first_event(prefill_ahead, uncached_tokens, took);
+        });
     }
 
-    /// Two events of a stream came with this pause between them.
+    /// Records the interval between two events of a stream.
     pub fn observe_event_interval(
         &mut self,
         service: &id::Service,
         model: &id::Model,
-        pause: duration::Span,
+        interval: duration::Span,
     ) {
-        self.each(service, model, |pace| pace.learn_pause(pause));
+        self.update(service, model, |estimate| {
+            estimate.observe_event_interval(interval);
+        });
     }
 
-    /// A whole answer to a request for `output` tokens took so long from its first event.
+    /// Records a complete answer of up to `output` tokens, `took` from its first event to
+    /// its end.
     pub fn observe_answer(
         &mut self,
         service: &id::Service,
@@ -230,21 +252,29 @@
         output: u64,
         took: duration::Span,
     ) {
-        self.each(service, model, |pace| pace.learn_answer(output, took));
+        self.update(service, model, |estimate| {
+            estimate.observe_answer(output, took);
+        });
     }
 
-    fn each(&mut self, service: &id::Service, model: &id::Model, learn: impl Fn(&mut Estimate)) {
+    fn update(
+        &mut self,
+        service: &id::Service,
+        model: &id::Model,
+        observe: impl Fn(&mut Estimate),
+    ) {
         if !self.services.contains_key(service) {
-            self.services.insert(service.clone(), Known::default());
+            self.services
+                .insert(service.clone(), ServiceEstimates::default());
         }
-        let Some(known) = self.services.get_mut(service) else {
+        let Some(estimates) = self.services.get_mut(service) else {
             return;
         };
-        learn(&mut known.all);
-        if let Some(pace) = known.models.get_mut(model) {
-            learn(pace);
+        observe(&mut estimates.default);
+        if let Some(estimate) = estimates.models.get_mut(model) {
+            observe(estimate);
             return;
         }
-        known.models.insert(model.clone(), known.all);
+        estimates.models.insert(model.clone(), estimates.default);
     }
 }
--- a/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
+++ b/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
@@ -1,66 +1,67 @@
-//! Which parts of prompts an engine keeps, as far as this entry sent them there.
+//! Tracks which parts of prompts an engine has cached, as far as this entry sent them
+//! there.
 
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id};
 
-/// Time after which an engine is no longer expected to keep a part that nobody
-/// used. Its memory holds some hundred prompts, so it keeps what is used.
-const KEPT_FOR: duration::Span = duration::Span::from_secs(25);
+/// Time after which an unused part is no longer expected in an engine's cache. The cache
+/// holds some hundred prompts, so it keeps what is used.
+const MAX_IDLE_TIME: duration::Span = duration::Span::from_secs(25);
 
-/// Parts that are remembered for one engine; the oldest go first. More than its
-/// memory holds.
-const MOST_PARTS: usize = 2_048;
+/// Maximum number of parts tracked for one engine; the oldest are dropped first. More
+/// than its cache holds.
+const MAX_PARTS: usize = 2_048;
 
 /// A part of a prompt; the same part has the same id everywhere.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Its id.
+    /// Id of the part.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// A prompt's parts, each named together with all before it.
+/// A prompt's parts, each identified by a hash of itself and all parts before it.
 ///
-/// A kept part is of use only if all before it are kept too, and only for the same
-/// model and adapter.
+/// A cached part is of use only if all parts before it are cached too, and only for the
+/// same model and adapter.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Chain {
     links: Vec<(u64, u64)>,
 }
 
-/// What one engine keeps.
+/// Tracks the expected content of one engine's cache.
 #[derive(Debug, Clone, Default)]
 pub struct Tracker {
     parts: BTreeMap<u64, duration::Instant>,
 }
 
 impl Chain {
-    /// The chain of a prompt for a model, with its adapter if there is one.
+    /// Creates the chain of a prompt for a model, with its adapter if there is one.
     #[must_use]
     pub fn new(model: &str, adapter: Option<&str>, parts: &[Part]) -> Self {
-        let mut name = mix(
+        let mut link_id = mix(
             hash(model.as_bytes()),
             hash(adapter.unwrap_or("").as_bytes()),
         );
         let links = parts.iter().map(|part| {
-            name = mix(name, part.id);
-            (name, part.tokens)
+            link_id = mix(link_id, part.id);
+            (link_id, part.tokens)
         });
         Self {
             links: links.collect(),
         }
     }
 
-    /// Names the prompt's session: all that it shares with others.
+    /// Id of the prompt's session: all parts that it shares with others.
     #[must_use]
     pub fn session(&self) -> Option<u64> {
         let shared = self.links.len().checked_sub(2)?;
-        self.links.get(shared).map(|(name, _)| *name)
+        self.links.get(shared).map(|(link_id, _)| *link_id)
     }
 
-    /// Tokens that it shares with other prompts of its session.
+    /// Number of tokens that it shares with other prompts of its session.
     #[must_use]
     pub fn shared_tokens(&self) -> u64 {
         let shared = self.links.len().saturating_sub(1);
@@ -73,28 +74,29 @@
 }
 
 impl Tracker {
-    /// Tokens of a prompt that are kept.
+    /// Number of tokens of a prompt that are expected in the cache.
     #[must_use]
     pub fn cached_tokens(&self, now: duration::Instant, chain: &Chain) -> u64 {
         let links = chain.links.iter();
-        let kept = links.take_while(|(name, _)| {
-            let used = self.parts.get(name);
-            used.is_some_and(|used| now.since(*used) < KEPT_FOR)
+        let cached = links.take_while(|(link_id, _)| {
+            let used = self.parts.get(link_id);
+            used.is_some_and(|used| now.since(*used) < MAX_IDLE_TIME)
         });
-        kept.map(|(_, tokens)| tokens).sum()
+        cached.map(|(_, tokens)| tokens).sum()
     }
 
-    /// A prompt was sent there.
+    /// Records a prompt that was sent to the engine.
     pub fn record_sent(&mut self, now: duration::Instant, chain: &Chain) {
-        for (name, _) in &chain.links {
-            self.parts.insert(*name, now);
+        for (link_id, _) in &chain.links {
+            self.parts.insert(*link_id, now);
         }
-        if self.parts.len() > MOST_PARTS {
-            self.parts.retain(|_, used| now.since(*used) < KEPT_FOR);
+        if self.parts.len() > MAX_PARTS {
+            self.parts
+                .retain(|_, used| now.since(*used) < MAX_IDLE_TIME);
         }
-        while self.parts.len() > MOST_PARTS {
+        while self.parts.len() > MAX_PARTS {
             let oldest = self.parts.iter().min_by_key(|(_, used)| **used);
-            let Some(oldest) = oldest.map(|(name, _)| *name) else {
+            let Some(oldest) = oldest.map(|(link_id, _)| *link_id) else {
                 return;
             };
             self.parts.remove(&oldest);
@@ -102,10 +104,11 @@
     }
 }
 
-/// How much a session belongs to an engine; the highest of all engines has it.
+/// Affinity of a session to an engine; the session belongs to the engine with the highest
+/// one.
 ///
-/// Entries don't see each other's choices. With this they send a session to the
-/// same engine, where its parts are kept, without a word between them.
+/// Entries don't see each other's choices. By affinity they send a session to the same
+/// engine, where its parts are cached, without any message between them.
 #[must_use]
 pub fn affinity(session: u64, endpoint: &id::Endpoint) -> u64 {
     mix(session, hash(endpoint.as_str().as_bytes()))
--- a/crates/cranberrygap-routing/src/prompt/selection.rs
+++ b/crates/cranberrygap-routing/src/prompt/selection.rs
@@ -1,146 +1,155 @@
-//! The choice among the engines that hold a model.
+//! Chooses among the engines that hold a model.
 
 use cranberrygap_model::{duration, id};
 
 use super::{backlog, latency, window};
 
-/// Part of its shared tokens, in tenths, that a session is taken to find at the engine that it
-/// belongs to, while this entry has not sent it there itself.
-const LIKELY_KEPT_TENTHS: u64 = 6;
+/// Expected cached share, in tenths, of a session's shared tokens at its affinity engine,
+/// while this entry has not sent the session there itself.
+const EXPECTED_CACHED_TENTHS: u64 = 6;
 
-/// Weight of a recent failure: it counts like a wait of so long.
-const FAILURE: duration::Span = duration::Span::from_millis(400);
+/// Penalty of an engine that failed all recent requests, as waiting time.
+const FAILURE_PENALTY: duration::Span = duration::Span::from_millis(400);
 
-/// Weight of an engine at which the prompt would have to wait for its turn: half of the
-/// time over which sends are summed.
-const CROWDED: duration::Span = duration::Span(window::LENGTH.0 / 2);
+/// Penalty of an engine at which the prompt would exceed the prefill budget: half of the
+/// window over which sends are summed.
+const OVER_BUDGET_PENALTY: duration::Span = duration::Span(window::LENGTH.0 / 2);
 
-/// What is known of one engine that could serve a request.
+/// State of one engine that could serve a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'known> {
-    /// Its name.
+    /// Name of the engine.
     pub endpoint: &'known id::Endpoint,
-    /// What waits there.
+    /// Work that waits there.
     pub backlog: backlog::Backlog,
-    /// Reading of what was sent there within the last moments.
+    /// Prefill time of what was sent there within [`window::LENGTH`].
     pub recent_prefill: duration::Span,
-    /// Tokens of the prompt that this entry knows to be kept there.
+    /// Tokens of the prompt that this entry knows to be cached there.
     pub cached_tokens: u64,
-    /// Whether the prompt's session belongs there.
+    /// Whether the prompt's session has its affinity there.
     pub has_affinity: bool,
-    /// Whether it lies in this entry's failure domain.
+    /// Whether it is in this entry's failure domain.
     pub same_domain: bool,
-    /// Whether it holds the adapter that is wanted, if one is.
+    /// Whether it holds the requested adapter, if there is one.
     pub has_adapter: bool,
-    /// Part of the requests sent there of late that it failed, 0 to 1.
+    /// Share of recent requests sent there that it failed, 0 to 1.
     pub failure_rate: f64,
 }
 
-/// A request as the choice sees it.
+/// A request as the selection sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// Its rank, 0 is the most urgent.
+    /// Its rank; 0 is the most urgent.
     pub rank: usize,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Prompt tokens that others share.
+    /// Number of prompt tokens shared with other requests of the session.
     pub shared_tokens: u64,
-    /// Reading that an engine may get within [`window::LENGTH`].
+    /// Prefill time that an engine may get within [`window::LENGTH`].
     pub prefill_budget: duration::Span,
-    /// Reading beside which a large prompt may go though it does not fit.
+    /// Recent prefill time up to which a large prompt may go to an engine although it
+    /// exceeds the budget.
     pub large_prompt_grace: duration::Span,
-    /// What requests for its model take.
+    /// Latency estimate of requests for its model.
     pub latency: latency::Estimate,
-    /// Requests in one batch of an engine; 0 where that is not known.
+    /// Requests in one batch of an engine; 0 if unknown.
     pub slots: u32,
-    /// What an engine in another failure domain costs beyond one that is near,
-    /// counted as waiting time.
+    /// Penalty of an engine in another failure domain, as waiting time.
     pub remote_penalty: duration::Span,
-    /// What an adapter that has to be fetched costs, counted as waiting time.
+    /// Penalty of an engine that has to load the adapter, as waiting time.
     pub adapter_penalty: duration::Span,
 }
 
-/// An engine and what to expect of it.
+/// The chosen engine and the predictions for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
-    /// The engine.
+    /// Name of the engine.
     pub endpoint: id::Endpoint,
     /// Predicted time to the first event.
     pub time_to_first_event: duration::Span,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens to prefill.
     pub uncached_tokens: u64,
-    /// Time that it takes to read these.
+    /// Time to prefill them.
     pub prefill_time: duration::Span,
-    /// Reading that waits there already.
+    /// Prefill time of all prompts that wait there.
     pub queued_prefill: duration::Span,
-    /// What of it comes before this prompt.
+    /// The part of it that is prefilled before this prompt.
     pub prefill_ahead: duration::Span,
     /// Requests that run or wait there.
     pub running: u32,
-    /// Reading of what was sent there within the last moments.
+    /// Prefill time of what was sent there within [`window::LENGTH`].
     pub recent_prefill: duration::Span,
 }
 
 impl Choice {
-    /// Whether the prompt fits beside what was sent there lately. One that is larger
-    /// than the room by itself goes to an engine that got nothing.
+    /// Whether the prompt fits beside what was sent there recently. One that exceeds the
+    /// budget by itself goes to an engine that got nothing.
     #[must_use]
-    pub const fn fits(&self, wanted: &Request) -> bool {
-        wanted.fits(self.recent_prefill, self.prefill_time)
+    pub const fn fits(&self, request: &Request) -> bool {
+        request.fits(self.recent_prefill, self.prefill_time)
     }
 }
 
-/// Part of the room, one in so many, from which on a prompt is large.
-const LARGE: u64 = 4;
+/// Divisor of the prefill budget; a prompt that takes more than the quotient is large.
+const LARGE_PROMPT_DIVISOR: u64 = 4;
 
 impl Request {
-    /// Whether a prompt that takes `reading` may go where as much as `recent` was sent.
+    /// Whether a prompt that takes `prefill_time` may go where `recent_prefill` was sent.
     #[must_use]
-    pub const fn fits(&self, recent: duration::Span, reading: duration::Span) -> bool {
-        let large = reading.0 > self.prefill_budget.0 / LARGE;
-        let all = recent.0 + reading.0;
-        recent.0 == 0
-            || all <= self.prefill_budget.0
-            || (large && recent.0 <= self.large_prompt_grace.0)
+    pub const fn fits(&self, recent_prefill: duration::Span, prefill_time: duration::Span) -> bool {
+        let large = prefill_time.0 > self.prefill_budget.0 / LARGE_PROMPT_DIVISOR;
+        let total = recent_prefill.0 + prefill_time.0;
+        recent_prefill.0 == 0
+            || total <= self.prefill_budget.0
+            || (large && recent_prefill.0 <= self.large_prompt_grace.0)
     }
 }
 
-/// The engine with the earliest first event, costs counted as time.
+/// Chooses the engine with the earliest first event, penalties included.
 #[must_use]
 pub fn choose<'known>(
-    wanted: &Request,
+    request: &Request,
     candidates: impl Iterator<Item = Candidate<'known>>,
 ) -> Option<Choice> {
     let scored = candidates.map(|candidate| {
-        let fresh = fresh(wanted, &candidate);
-        let pace = &wanted.latency;
-        let reading = pace.prefill_time(fresh);
-        let first_event =
-            pace.time_to_first_event(&candidate.backlog, wanted.rank, fresh, wanted.slots);
-        let far = if candidate.same_domain {
+        let uncached_tokens = uncached_tokens(request, &candidate);
+        let latency = &request.latency;
+        let prefill_time = latency.prefill_time(uncached_tokens);
+        let time_to_first_event = latency.time_to_first_event(
+            &candidate.backlog,
+            request.rank,
+            uncached_tokens,
+            request.slots,
+        );
+        let remote = if candidate.same_domain {
             0
         } else {
-            wanted.remote_penalty.0
+            request.remote_penalty.0
         };
-        let fetch = if candidate.has_adapter {
+        let adapter = if candidate.has_adapter {
             0
         } else {
-            wanted.adapter_penalty.0
+            request.adapter_penalty.0
         };
-        let crowded = if wanted.fits(candidate.recent_prefill, reading) {
+        let over_budget = if request.fits(candidate.recent_prefill, prefill_time) {
             0
         } else {
-            CROWDED.0
+            OVER_BUDGET_PENALTY.0
         };
-        let failing = FAILURE.scaled(candidate.failure_rate).0;
-        let cost = first_event.0 + candidate.recent_prefill.0 + far + fetch + crowded + failing;
+        let failure = FAILURE_PENALTY.scaled(candidate.failure_rate).0;
+        let cost = time_to_first_event.0
+            + candidate.recent_prefill.0
+            + remote
+            + adapter
+            + over_budget
+            + failure;
         let choice = Choice {
             endpoint: candidate.endpoint.clone(),
-            time_to_first_event: first_event,
-            uncached_tokens: fresh,
-            prefill_time: reading,
+            time_to_first_event,
+            uncached_tokens,
+            prefill_time,
             queued_prefill: candidate.backlog.total_prefill(),
-            prefill_ahead: candidate.backlog.prefill_ahead(wanted.rank),
+            prefill_ahead: candidate.backlog.prefill_ahead(request.rank),
             running: candidate.backlog.running,
             recent_prefill: candidate.recent_prefill,
         };
@@ -152,13 +161,13 @@
     best.map(|(_, choice)| choice)
 }
 
-fn fresh(wanted: &Request, candidate: &Candidate<'_>) -> u64 {
-    let likely = if candidate.has_affinity {
-        wanted.shared_tokens * LIKELY_KEPT_TENTHS / 10
+fn uncached_tokens(request: &Request, candidate: &Candidate<'_>) -> u64 {
+    let expected = if candidate.has_affinity {
+        request.shared_tokens * EXPECTED_CACHED_TENTHS / 10
     } else {
         0
     };
-    wanted
+    request
         .prompt_tokens
-        .saturating_sub(candidate.cached_tokens.max(likely))
+        .saturating_sub(candidate.cached_tokens.max(expected))
 }
--- a/crates/cranberrygap-routing/src/router.rs
+++ b/crates/cranberrygap-routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for one request.
+//! Chooses an endpoint for one request.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,21 @@
 use crate::load;
 use crate::prefix;
 
-/// How an entry routes.
+/// Settings of an entry's routing.
 #[derive(Debug, Clone, Copy, PartialEq, bon::Builder)]
 pub struct Settings {
-    /// Endpoints that are compared for each request.
+    /// Number of endpoints sampled for each request.
     #[builder(default = 3)]
     pub sample_size: usize,
     /// Target time between tokens.
     #[builder(default = duration::Span::from_millis(27))]
     pub between_tokens: duration::Span,
-    /// Part of a full batch that a whole cached prompt is worth.
+    /// Share of a full batch that a fully cached prompt is worth.
     #[builder(default = 0.15)]
     pub prefix_weight: f64,
 }
 
-/// Where a model stands, as the view and the reports have it.
+/// Where a model is resident, according to the view and the reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Residency<'a> {
     /// These ready endpoints have it; suspect and leaving ones are left out.
@@ -39,26 +39,26 @@
 /// What to do with a request now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send it to this endpoint.
     Dispatch(id::Endpoint),
-    /// Keep it at the entry until a seat is free or the model is loaded.
+    /// Keep it at the entry until a slot is free or the model is loaded.
     Wait,
     /// Refuse it as not run, at once: waiting cannot help.
     Refuse {
-        /// When to come back.
+        /// Time after which to try again.
         retry_after: duration::Span,
     },
 }
 
-/// How full an endpoint may be to get a request, as parts of its batch limit.
+/// How full an endpoint may be to get a request, as a share of its batch limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fill {
-    /// Up to this part; the emptiest is best.
+    /// Up to this share; the emptiest endpoint is best.
     Spread(f64),
-    /// Up to this part, which may be above one; the fullest is best.
+    /// Up to this share, which may exceed one; the fullest endpoint is best.
     ///
-    /// For requests that have to run although their batch will be too large:
-    /// one overfull endpoint misses its targets, rather than all of them.
+    /// For requests that have to run although their batch becomes too large: one overfull
+    /// endpoint misses its targets, rather than all of them.
     Pack(f64),
 }
 
@@ -71,53 +71,53 @@
     pub prompt_blocks: &'a [u64],
     /// Time until the caller's deadline.
     pub time_left: duration::Span,
-    /// Endpoints that the plan wants to take the model's requests.
+    /// Endpoints that the plan prefers for the model's requests.
     pub preferred: &'a [id::Endpoint],
     /// How full an endpoint may be.
     pub fill: Fill,
-    /// Part of its batch limit up to which an endpoint may be full that is not
-    /// preferred; zero for none.
+    /// Share of its batch limit up to which an endpoint that is not preferred may be
+    /// full; zero excludes such endpoints.
     pub spill_fill: f64,
 }
 
-/// One endpoint as an entry knows it.
+/// State of one endpoint as an entry knows it.
 #[derive(Debug, Clone)]
 pub struct EndpointState {
-    /// Its corrected load.
+    /// Its load estimate.
     pub load: load::Estimate,
-    /// Its batch within the latency target.
-    pub batch: batch::Batch,
+    /// Its batch limit within the latency target.
+    pub batch: batch::Estimator,
     /// Its cached prefixes.
     pub prefix: prefix::Index,
 }
 
-/// One entry's knowledge of the endpoints.
+/// State of the endpoints that one entry knows.
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
-    peers: BTreeMap<id::Endpoint, EndpointState>,
+    endpoints: BTreeMap<id::Endpoint, EndpointState>,
 }
 
 impl Router {
-    /// A router that knows nothing of any endpoint yet.
+    /// Creates a router without endpoints.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            peers: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
         }
     }
 
-    /// Chooses for one request.
+    /// Chooses what to do with one request.
     pub fn choose(
         &self,
         rng: &mut impl Rng,
-        question: &Request<'_>,
+        request: &Request<'_>,
         residency: &Residency<'_>,
     ) -> Choice {
         let endpoints = match residency {
             Residency::Resident(endpoints) => endpoints,
-            Residency::Expected(after) if *after <= question.time_left => return Choice::Wait,
+            Residency::Expected(after) if *after <= request.time_left => return Choice::Wait,
             Residency::Expected(after) => {
                 return Choice::Refuse {
                     retry_after: *after,
@@ -125,20 +125,20 @@
             }
             Residency::Absent => {
                 return Choice::Refuse {
-                    retry_after: RETRY_ABSENT,
+                    retry_after: ABSENT_RETRY_AFTER,
                 };
             }
         };
         let preferred = endpoints.iter();
         let preferred: Vec<id::Endpoint> = preferred
-            .filter(|endpoint| question.preferred.contains(endpoint))
+            .filter(|endpoint| request.preferred.contains(endpoint))
             .cloned()
             .collect();
         let best = if preferred.is_empty() {
-            self.best(rng, question, endpoints)
+            self.best_of_sample(rng, request, endpoints)
         } else {
-            let best = self.best(rng, question, &preferred);
-            best.or_else(|| self.spill(rng, question, endpoints))
+            let best = self.best_of_sample(rng, request, &preferred);
+            best.or_else(|| self.choose_spill(rng, request, endpoints))
         };
         match best {
             Some(endpoint) => Choice::Dispatch(endpoint),
@@ -146,150 +146,152 @@
         }
     }
 
-    /// A request was sent.
+    /// Records a request that was sent to an endpoint.
     pub fn record_sent(&mut self, now: duration::Instant, endpoint: &id::Endpoint) {
-        self.peer(endpoint).load.record_sent(now);
+        self.endpoint_mut(endpoint).load.record_sent(now);
     }
 
-    /// A request ended, whole or not.
+    /// Records the end of a request, complete or not.
     pub fn record_ended(&mut self, now: duration::Instant, endpoint: &id::Endpoint) {
-        self.peer(endpoint).load.record_ended(now);
+        self.endpoint_mut(endpoint).load.record_ended(now);
     }
 
-    /// An answer was streamed with this mean time between tokens.
+    /// Records the mean time between tokens of an answer at a batch size.
     pub fn observe_token_interval(
         &mut self,
         endpoint: &id::Endpoint,
         batch: f64,
-        gap: duration::Span,
+        interval: duration::Span,
     ) {
-        self.peer(endpoint).batch.observe(batch, gap);
+        self.endpoint_mut(endpoint).batch.observe(batch, interval);
     }
 
-    /// An endpoint reported.
+    /// Applies an endpoint's report.
     pub fn apply_report(&mut self, now: duration::Instant, report: &endpoint::Report) {
         let requests = report.running + report.waiting;
-        let peer = self.peer(&report.endpoint);
-        peer.load.apply_report(now, report.age, requests);
-        peer.prefix.observe(report);
+        let state = self.endpoint_mut(&report.endpoint);
+        state.load.apply_report(now, report.age, requests);
+        state.prefix.apply_report(report);
     }
 
-    /// What is known of an endpoint.
+    /// State of one endpoint.
     #[must_use]
     pub fn endpoint(&self, endpoint: &id::Endpoint) -> Option<&EndpointState> {
-        self.peers.get(endpoint)
+        self.endpoints.get(endpoint)
     }
 
-    /// All endpoints that are known.
+    /// All known endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &BTreeMap<id::Endpoint, EndpointState> {
-        &self.peers
+        &self.endpoints
     }
 
     /// Forgets endpoints that the view no longer has.
     pub fn retain(&mut self, keep: impl Fn(&id::Endpoint) -> bool) {
-        self.peers.retain(|endpoint, _| keep(endpoint));
+        self.endpoints.retain(|endpoint, _| keep(endpoint));
     }
 
-    fn peer(&mut self, endpoint: &id::Endpoint) -> &mut EndpointState {
+    fn endpoint_mut(&mut self, endpoint: &id::Endpoint) -> &mut EndpointState {
         let target = self.settings.between_tokens;
-        self.peers
+        self.endpoints
             .entry(endpoint.clone())
             .or_insert_with(|| EndpointState {
                 load: load::Estimate::default(),
-                batch: batch::Batch::new(target),
+                batch: batch::Estimator::new(target),
                 prefix: prefix::Index::default(),
             })
     }
 
-    /// An endpoint beside the preferred ones, where it has seats to spare.
+    /// Chooses an endpoint that is not preferred and has slots to spare.
     ///
-    /// A request there makes one more model active, and all steps longer. Under
-    /// overload every model would become active everywhere, all batches shrink,
-    /// and the overload would outlast its cause; one would see a fleet that
-    /// stays late long after a failure domain came back. So only spare seats
-    /// are taken, and only for requests that may go anywhere.
-    fn spill(
+    /// A request there makes one more model active, and all steps longer. Under overload
+    /// every model would become active everywhere, all batches would shrink, and the
+    /// overload would outlast its cause: the fleet would stay late long after a failure
+    /// domain came back. So only spare slots are used, and only for requests that may go
+    /// anywhere.
+    fn choose_spill(
         &self,
         rng: &mut impl Rng,
-        question: &Request<'_>,
+        request: &Request<'_>,
         endpoints: &[id::Endpoint],
     ) -> Option<id::Endpoint> {
-        if question.spill_fill <= 0.0 {
+        if request.spill_fill <= 0.0 {
             return None;
         }
-        let question = Request {
-            fill: Fill::Spread(question.spill_fill),
-            ..*question
+        let request = Request {
+            fill: Fill::Spread(request.spill_fill),
+            ..*request
         };
-        self.best(rng, &question, endpoints)
+        self.best_of_sample(rng, &request, endpoints)
     }
 
-    /// The best of a few endpoints drawn at random, and of the one that has
-    /// most of the prompt cached. With all compared, entries with the same
-    /// lagging reports would all pick the same endpoint.
-    fn best(
+    /// The best of a few endpoints drawn at random and of the one that has most of the
+    /// prompt cached. If all were compared, entries with the same lagging reports would
+    /// all pick the same endpoint.
+    fn best_of_sample(
         &self,
         rng: &mut impl Rng,
-        question: &Request<'_>,
+        request: &Request<'_>,
         endpoints: &[id::Endpoint],
     ) -> Option<id::Endpoint> {
-        let drawn = endpoints.choose_multiple(rng, self.settings.sample_size);
-        let cached = self.most_cached(question, endpoints);
-        let open = drawn
+        let sampled = endpoints.choose_multiple(rng, self.settings.sample_size);
+        let cached = self.most_cached(request, endpoints);
+        let eligible = sampled
             .chain(cached)
-            .filter(|endpoint| self.has_seat(endpoint, question.fill));
-        let scored = open.map(|endpoint| (self.score(question, endpoint), endpoint));
+            .filter(|endpoint| self.has_slot(endpoint, request.fill));
+        let scored = eligible.map(|endpoint| (self.score(request, endpoint), endpoint));
         let best = scored.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(best.1.clone())
     }
 
     fn most_cached<'a>(
         &self,
-        question: &Request<'_>,
+        request: &Request<'_>,
         endpoints: &'a [id::Endpoint],
     ) -> Option<&'a id::Endpoint> {
-        if question.prompt_blocks.is_empty() {
+        if request.prompt_blocks.is_empty() {
             return None;
         }
-        let hits = endpoints
+        let shares = endpoints
             .iter()
-            .map(|endpoint| (self.hit(question, endpoint), endpoint));
-        let (hit, endpoint) = hits.max_by(|a, b| a.0.total_cmp(&b.0))?;
-        (hit > 0.0).then_some(endpoint)
+            .map(|endpoint| (self.cached_share(request, endpoint), endpoint));
+        let (share, endpoint) = shares.max_by(|a, b| a.0.total_cmp(&b.0))?;
+        (share > 0.0).then_some(endpoint)
     }
 
-    fn has_seat(&self, endpoint: &id::Endpoint, fill: Fill) -> bool {
-        let Some(peer) = self.peers.get(endpoint) else {
+    fn has_slot(&self, endpoint: &id::Endpoint, fill: Fill) -> bool {
+        let Some(state) = self.endpoints.get(endpoint) else {
             return true;
         };
-        let (Fill::Spread(part) | Fill::Pack(part)) = fill;
-        f64::from(peer.load.requests()) < f64::from(peer.batch.limit()) * part
+        let (Fill::Spread(share) | Fill::Pack(share)) = fill;
+        f64::from(state.load.requests()) < f64::from(state.batch.limit()) * share
     }
 
-    /// Part of the batch that is taken, less what the cached prefix is worth.
-    fn score(&self, question: &Request<'_>, endpoint: &id::Endpoint) -> f64 {
-        let Some(peer) = self.peers.get(endpoint) else {
+    /// Share of the batch that is taken, less what the cached prefix is worth.
+    fn score(&self, request: &Request<'_>, endpoint: &id::Endpoint) -> f64 {
+        let Some(state) = self.endpoints.get(endpoint) else {
             return 0.0;
         };
-        let taken = f64::from(peer.load.requests()) / f64::from(peer.batch.limit());
-        if let Fill::Pack(_) = question.fill {
-            return -taken;
+        let fill_level = f64::from(state.load.requests()) / f64::from(state.batch.limit());
+        if let Fill::Pack(_) = request.fill {
+            return -fill_level;
         }
-        taken - self.settings.prefix_weight * self.hit(question, endpoint)
+        fill_level - self.settings.prefix_weight * self.cached_share(request, endpoint)
     }
 
-    /// Part of the prompt that is cached there.
-    fn hit(&self, question: &Request<'_>, endpoint: &id::Endpoint) -> f64 {
-        let blocks = question.prompt_blocks.len().max(1);
-        let peer = self.peers.get(endpoint);
-        let cached = peer.map_or(0, |peer| {
-            peer.prefix.hit(question.model, question.prompt_blocks)
+    /// Share of the prompt that is cached at an endpoint.
+    fn cached_share(&self, request: &Request<'_>, endpoint: &id::Endpoint) -> f64 {
+        let blocks = request.prompt_blocks.len().max(1);
+        let state = self.endpoints.get(endpoint);
+        let cached = state.map_or(0, |state| {
+            state
+                .prefix
+                .cached_blocks(request.model, request.prompt_blocks)
         });
         cached as f64 / blocks as f64
     }
 }
 
-/// When to come back for a model that no endpoint has and no order brings. The
-/// leader plans every few seconds, so that much may change the matter.
-const RETRY_ABSENT: duration::Span = duration::Span::from_secs(5);
+/// Time after which to retry for a model that no endpoint has and no order loads. The
+/// leader plans every few seconds, so the model may be planned by then.
+const ABSENT_RETRY_AFTER: duration::Span = duration::Span::from_secs(5);
--- a/crates/cranberrygap-routing/tests/pace.rs
+++ b/crates/cranberrygap-routing/tests/pace.rs
@@ -1,11 +1,11 @@
-//! Speeds of engines, learned from what comes back.
+//! Latency estimates of engines, learned from their answers.
 
 use cranberrygap_model::{duration, id};
 use cranberrygap_routing::prompt::{backlog, latency};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// An engine with these speeds, in microseconds.
+/// Speed of an engine, in microseconds per token.
 #[derive(Debug, Clone, Copy)]
 struct Speed {
     read: f64,
@@ -14,7 +14,7 @@
 
 const EVENT_TOKENS: f64 = 7.0;
 
-/// Requests by which a pace should be known.
+/// Number of requests after which a latency estimate should be good.
 const REQUESTS: u32 = 40;
 
 fn service() -> id::Service {
@@ -29,41 +29,41 @@
     duration::Span(1).scaled(micros)
 }
 
-/// One request: its prompt, two pauses and its end, each up to 30% longer than it would
-/// be without the queues and other prompts that the entry does not see.
-fn serve(paces: &mut latency::Estimator, name: &str, speed: Speed, rng: &mut ChaCha8Rng) {
+/// One request: its prompt, two event intervals and its end, each up to 30% longer than
+/// without the queues and prompts that the entry does not see.
+fn serve(estimator: &mut latency::Estimator, name: &str, speed: Speed, rng: &mut ChaCha8Rng) {
     let (service, model) = (service(), model(name));
     let tokens = rng.random_range(600..3_000);
-    let mut more = || rng.random_range(1.0..1.3);
+    let mut factor = || rng.random_range(1.0..1.3);
     let event = speed.step * EVENT_TOKENS;
-    let first = span((tokens as f64 * speed.read + event) * more());
-    let nothing = duration::Span(0);
-    paces.observe_first_event(&service, &model, nothing, tokens, first);
+    let first = span((tokens as f64 * speed.read + event) * factor());
+    let no_backlog = duration::Span(0);
+    estimator.observe_first_event(&service, &model, no_backlog, tokens, first);
     for _pause in 0..2 {
-        paces.observe_event_interval(&service, &model, span(event * more()));
+        estimator.observe_event_interval(&service, &model, span(event * factor()));
     }
-    paces.observe_answer(&service, &model, 300, span(300.0 * speed.step * more()));
+    estimator.observe_answer(&service, &model, 300, span(300.0 * speed.step * factor()));
 }
 
 fn learned(speed: Speed, number: u64) -> latency::Estimate {
     let mut rng = ChaCha8Rng::seed_from_u64(number);
-    let mut paces = latency::Estimator::default();
+    let mut estimator = latency::Estimator::default();
     for _request in 0..REQUESTS {
-        serve(&mut paces, "m", speed, &mut rng);
+        serve(&mut estimator, "m", speed, &mut rng);
     }
-    paces.estimate(&service(), &model("m"))
+    estimator.estimate(&service(), &model("m"))
 }
 
-fn is_near(known: duration::Span, true_micros: f64) -> bool {
-    let ratio = known.0 as f64 / true_micros;
+fn is_near(estimated: duration::Span, true_micros: f64) -> bool {
+    let ratio = estimated.0 as f64 / true_micros;
     (0.8..1.5).contains(&ratio)
 }
 
-// Engines of a new customer are twice as fast as those before, or a fifth of them. With
-// the old figures one saw them refuse what they would have begun at once, or callers late
-// all the time. Whoever sees forty answers knows what to expect, within a half.
+// Engines of a new customer are twice as fast as the initial estimate, or a fifth as
+// fast. With fixed figures an entry would refuse requests that they would begin at once,
+// or all callers would be late. After forty answers the estimate is within a half.
 #[test]
-fn engines_of_any_speed_are_known_after_some_answers() {
+fn estimates_converge_for_engines_of_any_speed() {
     let speeds = [
         (50.0, 7_500.0),
         (26.0, 4_500.0),
@@ -72,41 +72,46 @@
     ];
     for (read, step) in speeds {
         for seed in 0..10 {
-            let pace = learned(Speed { read, step }, seed);
+            let estimate = learned(Speed { read, step }, seed);
 
-            let reading = pace.prefill_time(10_000);
-            assert!(is_near(reading, 10_000.0 * read), "{read}: {reading}");
-            let event = pace.event_interval();
+            let prefill = estimate.prefill_time(10_000);
+            assert!(is_near(prefill, 10_000.0 * read), "{read}: {prefill}");
+            let event = estimate.event_interval();
             assert!(is_near(event, step * EVENT_TOKENS), "{step}: {event}");
-            let answer = pace.answer_time(300);
+            let answer = estimate.answer_time(300);
             assert!(is_near(answer, 300.0 * step), "{step}: {answer}");
         }
     }
 }
 
-// Another entry says late what waits at the engine: half a second of prompts that were
-// read long ago. Taken at its word the engine looked ten times as fast as it is.
+// Another entry publishes late what waits at the engine: half a second of prompts that
+// were prefilled long ago. If it counted, the engine would look ten times as fast as it
+// is.
 #[test]
-fn long_queues_teach_nothing_of_reading() {
-    let mut paces = latency::Estimator::default();
-    let before = paces.estimate(&service(), &model("m")).prefill_time(1_000);
+fn long_backlogs_do_not_update_the_prefill_estimate() {
+    let mut estimator = latency::Estimator::default();
+    let before = estimator
+        .estimate(&service(), &model("m"))
+        .prefill_time(1_000);
 
     for _request in 0..50 {
         let took = duration::Span::from_millis(60);
         let before = duration::Span::from_millis(500);
-        paces.observe_first_event(&service(), &model("m"), before, 1_000, took);
+        estimator.observe_first_event(&service(), &model("m"), before, 1_000, took);
     }
 
     assert_eq!(
-        paces.estimate(&service(), &model("m")).prefill_time(1_000),
+        estimator
+            .estimate(&service(), &model("m"))
+            .prefill_time(1_000),
         before
     );
 }
 
 #[test]
-fn fast_and_slow_models_of_one_service_are_told_apart() {
+fn fast_and_slow_models_of_one_service_have_separate_estimates() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut paces = latency::Estimator::default();
+    let mut estimator = latency::Estimator::default();
     let (slow, fast) = (
         Speed {
             read: 26.0,
@@ -118,44 +123,54 @@
         },
     );
     for _request in 0..REQUESTS {
-        serve(&mut paces, "slow", slow, &mut rng);
-        serve(&mut paces, "fast", fast, &mut rng);
+        serve(&mut estimator, "slow", slow, &mut rng);
+        serve(&mut estimator, "fast", fast, &mut rng);
     }
 
-    let of = |name| paces.estimate(&service(), &model(name)).answer_time(300).0;
+    let answer_time = |name| {
+        estimator
+            .estimate(&service(), &model(name))
+            .answer_time(300)
+            .0
+    };
 
-    assert!(of("slow") > of("fast") * 3, "{} {}", of("slow"), of("fast"));
+    assert!(
+        answer_time("slow") > answer_time("fast") * 3,
+        "{} {}",
+        answer_time("slow"),
+        answer_time("fast")
+    );
 }
 
-// An engine hangs for ten seconds, or this instance does. What is known of the model must
-// not change so that the next callers are refused.
+// An engine hangs for ten seconds, or this instance does. The estimates of its model must
+// not change so much that the next callers are refused.
 #[test]
 fn one_stall_changes_little() {
-    let mut paces = latency::Estimator::default();
+    let mut estimator = latency::Estimator::default();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let speed = Speed {
         read: 26.0,
         step: 4_500.0,
     };
     for _request in 0..REQUESTS {
-        serve(&mut paces, "m", speed, &mut rng);
+        serve(&mut estimator, "m", speed, &mut rng);
     }
-    let before = paces.estimate(&service(), &model("m"));
+    let before = estimator.estimate(&service(), &model("m"));
 
     let stall = duration::Span::from_secs(10);
-    paces.observe_first_event(&service(), &model("m"), duration::Span(0), 1_000, stall);
-    paces.observe_event_interval(&service(), &model("m"), stall);
+    estimator.observe_first_event(&service(), &model("m"), duration::Span(0), 1_000, stall);
+    estimator.observe_event_interval(&service(), &model("m"), stall);
 
-    let after = paces.estimate(&service(), &model("m"));
+    let after = estimator.estimate(&service(), &model("m"));
     assert!(after.prefill_time(1_000).0 as f64 <= before.prefill_time(1_000).0 as f64 * 1.1);
     assert!(after.event_interval().0 as f64 <= before.event_interval().0 as f64 * 1.1);
 }
 
-// Seats of a batch fill before prompts do where answers are long. An engine whose places
-// are all taken begins a request only when another ends.
+// Where answers are long, the slots of a batch fill before the prefill backlog does. An
+// engine whose slots are all taken begins a request only when another ends.
 #[test]
 fn full_batch_delays_the_first_event() {
-    let pace = learned(
+    let estimate = learned(
         Speed {
             read: 26.0,
             step: 4_500.0,
@@ -163,13 +178,13 @@
         1,
     );
     let running = |count| {
-        let mut tally = backlog::Backlog::default();
-        (0..count).for_each(|_| tally.add(1, 0));
-        tally
+        let mut backlog = backlog::Backlog::default();
+        (0..count).for_each(|_| backlog.add(1, 0));
+        backlog
     };
 
     let [free, full, crowded] =
-        [31, 32, 48].map(|count| pace.time_to_first_event(&running(count), 1, 0, 32).0);
+        [31, 32, 48].map(|count| estimate.time_to_first_event(&running(count), 1, 0, 32).0);
 
     assert!(full > free);
     assert!(crowded > full);
--- a/crates/cranberrygap-routing/tests/pacing.rs
+++ b/crates/cranberrygap-routing/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Prompts paced over the pause that streams allow, at a modelled engine.
+//! Prompts paced over the pause that streams allow, at a simulated engine.
 
 use std::collections::VecDeque;
 
@@ -7,23 +7,23 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A step without prompts.
-const STEP: duration::Span = duration::Span::from_millis(8);
+/// Time of a step without prefill.
+const STEP_TIME: duration::Span = duration::Span::from_millis(8);
 
-/// Prompt tokens that one step may read.
-const PIECE: u64 = 4_096;
+/// Maximum number of prompt tokens that one step prefills.
+const MAX_STEP_TOKENS: u64 = 4_096;
 
 /// Tokens of a stream in one event, and so steps between two events.
-const EVENT: usize = 3;
+const EVENT_STEPS: usize = 3;
 
-/// Reading that may be sent within the window: 0.9 of a pause of 300 ms.
-const ROOM: duration::Span = duration::Span::from_millis(270);
+/// Prefill time that may be sent within the window: 0.9 of a pause of 300 ms.
+const BUDGET: duration::Span = duration::Span::from_millis(270);
 
-/// Prompt tokens that the modelled engine reads in a millisecond.
-const READ_A_MILLI: u64 = 20;
+/// Prompt tokens that the simulated engine prefills per millisecond.
+const TOKENS_PER_MILLI: u64 = 20;
 
-const fn reading(tokens: u64) -> duration::Span {
-    duration::Span(tokens * 1_000 / READ_A_MILLI)
+const fn prefill_time(tokens: u64) -> duration::Span {
+    duration::Span(tokens * 1_000 / TOKENS_PER_MILLI)
 }
 
 const fn millis(count: u64) -> duration::Instant {
@@ -34,7 +34,7 @@
     name.parse().expect("a name")
 }
 
-/// Prompts by the time at which they reach the entries: many small, few large ones.
+/// Prompts by their arrival at the entries: many small ones, few large ones.
 fn arrivals(seed: u64) -> Vec<(duration::Instant, u64)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut at = duration::Instant(0);
@@ -53,60 +53,60 @@
     let mut window = window::Window::default();
     let mut now = duration::Instant(0);
     let mut sent = Vec::new();
-    for (arrived, fresh) in prompts {
+    for (arrived, tokens) in prompts {
         now = now.max(*arrived);
-        let takes = reading(*fresh);
-        while window.prefill_time(now).0 > 0 && window.prefill_time(now).0 + takes.0 > ROOM.0 {
+        let prefill = prefill_time(*tokens);
+        while window.prefill_time(now).0 > 0 && window.prefill_time(now).0 + prefill.0 > BUDGET.0 {
             now = now.after(duration::Span::from_millis(5));
         }
-        window.record(now, u32::try_from(takes.0).expect("a small number"));
-        sent.push((now, *fresh));
+        window.record(now, u32::try_from(prefill.0).expect("a small number"));
+        sent.push((now, *tokens));
     }
     sent
 }
 
-/// Longest time between two events of a stream that runs at an engine all along.
+/// Longest interval between two events of a stream that runs at an engine all along.
 fn longest_pause(sent: &[(duration::Instant, u64)]) -> duration::Span {
     let mut due: VecDeque<_> = sent.iter().copied().collect();
     let mut now = duration::Instant(0);
-    let mut unread = 0;
+    let mut queued_tokens = 0;
     let mut steps = VecDeque::new();
     let mut longest = duration::Span(0);
-    while !due.is_empty() || unread > 0 {
-        while let Some((_, fresh)) = due.pop_front_if(|(at, _)| *at <= now) {
-            unread += fresh;
+    while !due.is_empty() || queued_tokens > 0 {
+        while let Some((_, tokens)) = due.pop_front_if(|(at, _)| *at <= now) {
+            queued_tokens += tokens;
         }
-        let piece = unread.min(PIECE);
-        unread -= piece;
-        now = now.after(STEP).after(reading(piece));
+        let step_tokens = queued_tokens.min(MAX_STEP_TOKENS);
+        queued_tokens -= step_tokens;
+        now = now.after(STEP_TIME).after(prefill_time(step_tokens));
         steps.push_back(now);
-        if steps.len() > EVENT {
-            let before = steps.pop_front().expect("a step");
-            longest = longest.max(now.since(before));
+        if steps.len() > EVENT_STEPS {
+            let previous = steps.pop_front().expect("a step");
+            longest = longest.max(now.since(previous));
         }
     }
     longest
 }
 
-// Prompts of several entries reach one engine within the same event of its streams.
-// Each finds a small backlog, so each is sent at once, and all streams there pause for
-// longer than their callers allow.
+// Prompts of several entries reach one engine within the same event of its streams. Each
+// entry sees a small backlog and sends at once, and all streams there pause for longer
+// than their callers allow.
 #[test]
 fn paced_prompts_do_not_make_streams_pause() {
     let allowed = duration::Span::from_millis(300);
     for seed in 0..20 {
         let prompts = arrivals(seed);
 
-        let at_once = longest_pause(&prompts);
-        let with_room = longest_pause(&paced(&prompts));
+        let unpaced_pause = longest_pause(&prompts);
+        let paced_pause = longest_pause(&paced(&prompts));
 
-        assert!(at_once > allowed, "seed {seed}: {at_once}");
-        assert!(with_room <= allowed, "seed {seed}: {with_room}");
+        assert!(unpaced_pause > allowed, "seed {seed}: {unpaced_pause}");
+        assert!(paced_pause <= allowed, "seed {seed}: {paced_pause}");
     }
 }
 
-// The engine is busy for somewhat more than half of the time. Pacing must not make
-// callers wait for nothing: a first event may come 800 ms after its request.
+// The engine is busy for somewhat more than half of the time. Pacing must not delay
+// callers needlessly: a first event may arrive 800 ms after its request.
 #[test]
 fn pacing_delays_prompts_by_a_fraction_of_the_window() {
     let prompts = arrivals(7);
@@ -132,15 +132,16 @@
     assert_eq!(sums, [1_500, 500, 0]);
 }
 
-// A prompt that is larger than the room alone would wait for ever if it had to fit.
+// A prompt that exceeds the prefill budget by itself would wait for ever if it had to
+// fit.
 #[test]
-fn prompt_larger_than_the_room_goes_to_an_engine_that_got_nothing() {
+fn prompt_over_the_budget_goes_to_an_idle_engine() {
     let name = endpoint("idle");
-    let wanted = selection::Request {
+    let request = selection::Request {
         rank: 1,
         prompt_tokens: 9_000,
         shared_tokens: 0,
-        prefill_budget: ROOM,
+        prefill_budget: BUDGET,
         large_prompt_grace: duration::Span(0),
         latency: latency::Estimate::default(),
         slots: 64,
@@ -159,19 +160,20 @@
     };
 
     let fits = [0, 15].map(|recent| {
-        let choice = selection::choose(&wanted, [candidate(recent)].into_iter());
-        choice.expect("a choice").fits(&wanted)
+        let choice = selection::choose(&request, [candidate(recent)].into_iter());
+        choice.expect("a choice").fits(&request)
     });
 
     assert_eq!(fits, [true, false]);
 }
 
-// The annex of a tender has seven thousand tokens, most of what may be sent within one
-// pause. With others sending all the time one never saw it fit, and a third of the
-// largest tenth was served where three in four of all were. Its grace grows while it
-// waits, up to a whole pause; a small prompt gets none, since a little room comes often.
+// A prompt of seven thousand tokens takes most of the prefill budget of one pause. While
+// others send all the time it never fits: a third of the largest tenth of prompts was
+// served, where three in four of all prompts were. The allowance of a large prompt grows
+// while it waits, up to a whole pause; a small prompt gets none, since small gaps are
+// frequent.
 #[test]
-fn large_prompt_that_has_waited_goes_beside_a_full_room() {
+fn waiting_large_prompt_may_exceed_the_budget() {
     let name = endpoint("busy");
     let candidate = selection::Candidate {
         endpoint: &name,
@@ -183,11 +185,11 @@
         has_adapter: true,
         failure_rate: 0.0,
     };
-    let wanted = |prompt, grace| selection::Request {
+    let request = |prompt_tokens, grace| selection::Request {
         rank: 0,
-        prompt_tokens: prompt,
+        prompt_tokens,
         shared_tokens: 0,
-        prefill_budget: ROOM,
+        prefill_budget: BUDGET,
         large_prompt_grace: duration::Span::from_millis(grace),
         latency: latency::Estimate::default(),
         slots: 32,
@@ -195,17 +197,17 @@
         adapter_penalty: duration::Span(0),
     };
 
-    // At 50 us a token the large prompt takes 250 ms, the small one 60 ms.
-    let fits = [(5_000, 0), (5_000, 200), (1_200, 200)].map(|(prompt, grace)| {
-        let wanted = wanted(prompt, grace);
-        let choice = selection::choose(&wanted, [candidate].into_iter());
-        choice.expect("a choice").fits(&wanted)
+    // At 50 us per token the large prompt takes 250 ms, the small one 60 ms.
+    let fits = [(5_000, 0), (5_000, 200), (1_200, 200)].map(|(prompt_tokens, grace)| {
+        let request = request(prompt_tokens, grace);
+        let choice = selection::choose(&request, [candidate].into_iter());
+        choice.expect("a choice").fits(&request)
     });
-    let beside_a_little_less = selection::Request {
+    let smaller_budget = selection::Request {
         prefill_budget: duration::Span::from_millis(250),
-        ..wanted(1_200, 200)
+        ..request(1_200, 200)
     };
 
     assert_eq!(fits, [false, true, true]);
-    assert!(!beside_a_little_less.fits(candidate.recent_prefill, duration::Span::from_millis(60)));
+    assert!(!smaller_budget.fits(candidate.recent_prefill, duration::Span::from_millis(60)));
 }
--- a/crates/cranberrygap-routing/tests/prompt.rs
+++ b/crates/cranberrygap-routing/tests/prompt.rs
@@ -1,4 +1,4 @@
-//! The choice of the engine by the time to the first event.
+//! Selection of the engine by the time to the first event.
 
 use cranberrygap_model::{duration, id};
 use cranberrygap_routing::prompt::{backlog, latency, prefix_cache, selection};
@@ -7,13 +7,13 @@
     name.parse().expect("a name")
 }
 
-fn candidate(name: &id::Endpoint, unread: u32) -> selection::Candidate<'_> {
-    let mut tally = backlog::Backlog::default();
-    // Where a token takes 50 us to read.
-    tally.add(2, unread * 50);
+fn candidate(name: &id::Endpoint, backlog_tokens: u32) -> selection::Candidate<'_> {
+    let mut backlog = backlog::Backlog::default();
+    // A token takes 50 us to prefill.
+    backlog.add(2, backlog_tokens * 50);
     selection::Candidate {
         endpoint: name,
-        backlog: tally,
+        backlog,
         recent_prefill: duration::Span(0),
         cached_tokens: 0,
         has_affinity: false,
@@ -23,7 +23,7 @@
     }
 }
 
-fn wanted(rank: usize) -> selection::Request {
+fn request(rank: usize) -> selection::Request {
     selection::Request {
         rank,
         prompt_tokens: 1_460,
@@ -38,10 +38,10 @@
 }
 
 fn chosen<'name>(
-    wanted: &selection::Request,
+    request: &selection::Request,
     candidates: impl IntoIterator<Item = selection::Candidate<'name>>,
 ) -> String {
-    let choice = selection::choose(wanted, candidates.into_iter());
+    let choice = selection::choose(request, candidates.into_iter());
     choice.expect("a choice").endpoint.to_string()
 }
 
@@ -54,68 +54,71 @@
 }
 
 #[test]
-fn engine_with_fewer_unread_tokens_goes_first() {
+fn engine_with_the_smaller_backlog_is_chosen() {
     let (full, free) = (endpoint("full"), endpoint("free"));
 
-    let name = chosen(&wanted(2), [candidate(&full, 9_000), candidate(&free, 500)]);
+    let name = chosen(
+        &request(2),
+        [candidate(&full, 9_000), candidate(&free, 500)],
+    );
 
     assert_eq!(name, "free");
 }
 
-// Eight entries choose between the same engines without seeing each other. The one
-// that keeps a prompt saves more than half of its reading, so it is worth a short
-// queue, but not a long one.
+// Eight entries choose between the same engines without seeing each other's choices. The
+// engine that has a prompt cached saves more than half of its prefill, so it is worth a
+// short queue, but not a long one.
 #[test]
-fn kept_prompt_is_worth_a_short_queue_only() {
-    let (keeper, free) = (endpoint("keeper"), endpoint("free"));
-    let keeping = |unread| selection::Candidate {
+fn cached_prompt_is_worth_a_short_queue_only() {
+    let (cached, free) = (endpoint("keeper"), endpoint("free"));
+    let with_cache = |backlog_tokens| selection::Candidate {
         cached_tokens: 1_200,
-        ..candidate(&keeper, unread)
+        ..candidate(&cached, backlog_tokens)
     };
 
     assert_eq!(
-        chosen(&wanted(2), [keeping(1_000), candidate(&free, 0)]),
+        chosen(&request(2), [with_cache(1_000), candidate(&free, 0)]),
         "keeper"
     );
     assert_eq!(
-        chosen(&wanted(2), [keeping(6_000), candidate(&free, 0)]),
+        chosen(&request(2), [with_cache(6_000), candidate(&free, 0)]),
         "free"
     );
 }
 
 #[test]
-fn urgent_request_does_not_count_what_is_read_after_it() {
+fn urgent_request_ignores_less_urgent_backlog() {
     let name = endpoint("one");
     let waiting = candidate(&name, 20_000);
 
-    let pace = latency::Estimate::default();
-    let urgent = pace.time_to_first_event(&waiting.backlog, 0, 500, 64);
-    let usual = pace.time_to_first_event(&waiting.backlog, 2, 500, 64);
+    let estimate = latency::Estimate::default();
+    let urgent = estimate.time_to_first_event(&waiting.backlog, 0, 500, 64);
+    let usual = estimate.time_to_first_event(&waiting.backlog, 2, 500, 64);
 
     assert!(urgent < duration::Span::from_millis(100), "{urgent}");
     assert!(usual > duration::Span::from_millis(900), "{usual}");
 }
 
 #[test]
-fn engine_in_another_failure_domain_takes_what_the_near_one_cannot() {
-    let (near, far) = (endpoint("near"), endpoint("far"));
-    let far_away = || selection::Candidate {
+fn remote_engine_is_used_when_the_local_one_is_overloaded() {
+    let (local, remote) = (endpoint("near"), endpoint("far"));
+    let remote_engine = || selection::Candidate {
         same_domain: false,
-        ..candidate(&far, 0)
+        ..candidate(&remote, 0)
     };
 
     assert_eq!(
-        chosen(&wanted(2), [candidate(&near, 2_000), far_away()]),
+        chosen(&request(2), [candidate(&local, 2_000), remote_engine()]),
         "near"
     );
     assert_eq!(
-        chosen(&wanted(2), [candidate(&near, 9_000), far_away()]),
+        chosen(&request(2), [candidate(&local, 9_000), remote_engine()]),
         "far"
     );
 }
 
-// An engine answers health checks and fails two in five requests. Without a memory of
-// its answers it looks idle, since failed requests end at once, and gets all of them.
+// An engine answers health checks and fails two in five requests. Without a record of its
+// answers it looks idle, since failed requests end at once, and it gets all of them.
 #[test]
 fn failing_engine_is_used_less_though_it_looks_idle() {
     let (bad, good) = (endpoint("bad"), endpoint("good"));
@@ -125,16 +128,16 @@
     };
 
     assert_eq!(
-        chosen(&wanted(2), [failing, candidate(&good, 2_000)]),
+        chosen(&request(2), [failing, candidate(&good, 2_000)]),
         "good"
     );
 }
 
 #[test]
-fn part_is_kept_only_behind_all_parts_before_it() {
+fn part_counts_as_cached_only_with_all_parts_before_it() {
     let now = duration::Instant(1);
-    let mut kept = prefix_cache::Tracker::default();
-    kept.record_sent(
+    let mut tracker = prefix_cache::Tracker::default();
+    tracker.record_sent(
         now,
         &prefix_cache::Chain::new("m", None, &parts(&[1, 2, 3])),
     );
@@ -143,20 +146,20 @@
     let behind_other = prefix_cache::Chain::new("m", None, &parts(&[8, 2, 3]));
     let other_adapter = prefix_cache::Chain::new("m", Some("a1"), &parts(&[1, 2, 3]));
 
-    assert_eq!(kept.cached_tokens(now, &same), 800);
-    assert_eq!(kept.cached_tokens(now, &behind_other), 0);
-    assert_eq!(kept.cached_tokens(now, &other_adapter), 0);
+    assert_eq!(tracker.cached_tokens(now, &same), 800);
+    assert_eq!(tracker.cached_tokens(now, &behind_other), 0);
+    assert_eq!(tracker.cached_tokens(now, &other_adapter), 0);
 }
 
 #[test]
-fn part_that_nobody_used_for_long_is_not_counted_on() {
-    let mut kept = prefix_cache::Tracker::default();
+fn part_unused_for_long_does_not_count_as_cached() {
+    let mut tracker = prefix_cache::Tracker::default();
     let chain = prefix_cache::Chain::new("m", None, &parts(&[1, 2]));
-    kept.record_sent(duration::Instant(0), &chain);
+    tracker.record_sent(duration::Instant(0), &chain);
 
     let later = duration::Instant(0).after(duration::Span::from_secs(60));
 
-    assert_eq!(kept.cached_tokens(later, &chain), 0);
+    assert_eq!(tracker.cached_tokens(later, &chain), 0);
 }
 
 #[test]
@@ -175,17 +178,17 @@
 }
 
 #[test]
-fn tally_is_empty_again_when_all_have_ended() {
-    let mut tally = backlog::Backlog::default();
-    tally.add(1, 700);
-    tally.add(9, 300);
-    assert_eq!(tally.prefill_ahead(1).0, 700);
-    assert_eq!(tally.prefill_ahead(3).0, 1_000);
-
-    tally.finish_prefill(1, 700);
-    tally.finish_prefill(9, 300);
-    tally.finish_request();
-    tally.finish_request();
-
-    assert!(tally.is_empty());
+fn backlog_is_empty_when_all_requests_have_ended() {
+    let mut backlog = backlog::Backlog::default();
+    backlog.add(1, 700);
+    backlog.add(9, 300);
+    assert_eq!(backlog.prefill_ahead(1).0, 700);
+    assert_eq!(backlog.prefill_ahead(3).0, 1_000);
+
+    backlog.finish_prefill(1, 700);
+    backlog.finish_prefill(9, 300);
+    backlog.finish_request();
+    backlog.finish_request();
+
+    assert!(backlog.is_empty());
 }
--- a/crates/cranberrygap-routing/tests/routing.rs
+++ b/crates/cranberrygap-routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of the endpoint, corrected load, prefix index, waiting requests.
+//! Choice of the endpoint, load estimate, prefix index, waiting requests.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -50,19 +50,19 @@
 
 fn choose(
     router: &router::Router,
-    prompt: &[u64],
+    prompt_blocks: &[u64],
     residency: &router::Residency<'_>,
 ) -> router::Choice {
     let model = name("m");
-    let question = router::Request {
+    let request = router::Request {
         model: &model,
-        prompt_blocks: prompt,
+        prompt_blocks,
         time_left: duration::Span::from_secs(10),
         fill: router::Fill::Spread(1.0),
         spill_fill: 0.5,
         preferred: &[],
     };
-    router.choose(&mut SmallRng::seed_from_u64(1), &question, residency)
+    router.choose(&mut SmallRng::seed_from_u64(1), &request, residency)
 }
 
 fn router() -> router::Router {
@@ -79,8 +79,8 @@
     }
 }
 
-// The endpoint that was idle at the last report gets all requests until the
-// next one. Callers see their first tokens late there while others idle.
+// The endpoint that was idle at the last report gets all requests until the next one. Its
+// first tokens are late while other endpoints idle.
 #[test]
 fn lagging_reports_cause_no_herd() {
     let mut router = router();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn cached_prefix_draws_a_request() {
+fn cached_prefix_attracts_a_request() {
     let mut router = router();
     let endpoints = [name("a"), name("b")];
     router.apply_report(millis(0), &report("a", 1, vec![stored(1, 7), stored(2, 8)]));
@@ -134,39 +134,39 @@
     assert_eq!(choice, router::Choice::Dispatch(name("a")));
 }
 
-// Cache events are lost. The evicted block would still draw requests to an
-// endpoint that has to compute it again.
+// Cache events are lost. The evicted block would still attract requests to an endpoint
+// that has to compute it again.
 #[test]
 fn gap_in_cache_events_empties_the_index() {
     let mut index = prefix::Index::default();
-    index.observe(&report("a", 0, vec![stored(1, 7)]));
-    let before = index.hit(&name("m"), &[7]);
+    index.apply_report(&report("a", 0, vec![stored(1, 7)]));
+    let before = index.cached_blocks(&name("m"), &[7]);
 
-    let lost = index.observe(&report("a", 0, vec![stored(3, 9)]));
+    let lost = index.apply_report(&report("a", 0, vec![stored(3, 9)]));
 
     assert!(lost);
-    assert_eq!((before, index.hit(&name("m"), &[7])), (1, 0));
-    assert_eq!(index.hit(&name("m"), &[9]), 1);
+    assert_eq!((before, index.cached_blocks(&name("m"), &[7])), (1, 0));
+    assert_eq!(index.cached_blocks(&name("m"), &[9]), 1);
 }
 
 #[test]
 fn late_and_doubled_events_change_nothing() {
     let mut index = prefix::Index::default();
-    index.observe(&report("a", 0, vec![stored(1, 7), stored(2, 8)]));
+    index.apply_report(&report("a", 0, vec![stored(1, 7), stored(2, 8)]));
     let removed = endpoint::CacheEvent::Removed {
         model: name("m"),
         block: 7,
         sequence: number::Sequence(1),
     };
 
-    let lost = index.observe(&report("a", 0, vec![removed]));
+    let lost = index.apply_report(&report("a", 0, vec![removed]));
 
     assert!(!lost);
-    assert_eq!(index.hit(&name("m"), &[7, 8]), 2);
+    assert_eq!(index.cached_blocks(&name("m"), &[7, 8]), 2);
 }
 
-// No load can end within the caller's deadline. Kept waiting, the caller would
-// learn of it only at the deadline; refused at once it can go elsewhere.
+// No load can end within the caller's deadline. A waiting caller would learn of it only
+// at the deadline; refused at once it can try elsewhere.
 #[test]
 fn request_is_refused_at_once_when_no_load_can_help() {
     let router = router();
@@ -183,7 +183,7 @@
 
 #[test]
 fn batch_limit_is_learned_from_the_time_between_tokens() {
-    let mut batch = batch::Batch::new(duration::Span::from_millis(27));
+    let mut batch = batch::Estimator::new(duration::Span::from_millis(27));
     for round in 0..400_u32 {
         let size = f64::from(10 + round % 30);
         let micros = 8_000 + u64::from(10 + round % 30) * 500;
@@ -192,7 +192,7 @@
 
     let limit = batch.limit();
 
-    // 8 ms and 0.5 ms for each request reach 94% of 27 ms at 34.8 requests.
+    // 8 ms plus 0.5 ms per request reach 94% of 27 ms at 34.8 requests.
     assert!((33..=36).contains(&limit), "{limit}");
 }
 
@@ -210,8 +210,8 @@
     assert_eq!(next.unwrap().request, name("late"));
 }
 
-// One workspace sends several times its usual load. Served in order of arrival
-// the others would wait behind all of it.
+// One workspace sends several times its usual load. In order of arrival the others would
+// wait behind all of it.
 #[test]
 fn least_served_workspace_goes_first() {
     let mut queue = pending::Queue::new(duration::Span::from_millis(320));
