--- a/crates/cranberrygap-placement/src/ledger.rs
+++ b/crates/cranberrygap-placement/src/ledger.rs
@@ -233,7 +233,7 @@
 
     /// Residency number of the last report that an account has.
     #[must_use]
-    pub fn residency(&self, endpoint: &id::Endpoint) -> Option<number::Sequence> {
+    pub fn residency_number(&self, endpoint: &id::Endpoint) -> Option<number::Sequence> {
         self.accounts.get(endpoint).map(|account| account.residency)
     }
 }
--- a/crates/cranberrygap-placement/src/plan/demand.rs
+++ b/crates/cranberrygap-placement/src/plan/demand.rs
@@ -36,7 +36,9 @@
     let mut targets: Vec<usize> = (0..draft.runners.len())
         .filter(|runner| {
             let candidate = &draft.runners[*runner];
-            candidate.usable && !draft.has(*runner, index) && candidate.spare_capacity() > min_spare
+            candidate.usable
+                && !draft.has_copy(*runner, index)
+                && candidate.spare_capacity() > min_spare
         })
         .collect();
     let spare = |runner: &usize| draft.runners[*runner].spare_capacity();
@@ -50,6 +52,6 @@
         assign::fill(draft, index, runner);
         return;
     }
-    let keep = eviction::Keep::Spread(draft.settings.copies);
+    let keep = eviction::Keep::Redundant(draft.settings.copies);
     eviction::make_room(draft, &targets, footprint, keep);
 }
--- a/crates/cranberrygap-placement/src/plan/draft.rs
+++ b/crates/cranberrygap-placement/src/plan/draft.rs
@@ -159,7 +159,7 @@
 
     /// Whether the runner has or will have the model.
     #[must_use]
-    pub fn has(&self, runner: usize, index: usize) -> bool {
+    pub fn has_copy(&self, runner: usize, index: usize) -> bool {
         self.runners[runner].models.contains(&index)
     }
 
--- a/crates/cranberrygap-placement/src/plan/eviction.rs
+++ b/crates/cranberrygap-placement/src/plan/eviction.rs
@@ -9,7 +9,7 @@
     /// One serving copy, whatever its load; for the load of a model that has no copy.
     One,
     /// This number of copies over two failure domains that can take the load.
-    Spread(usize),
+    Redundant(usize),
 }
 
 /// Unloads copies on the one of `runners` where that costs least, so that `wanted` bytes
@@ -93,7 +93,7 @@
     let remaining: Vec<&draft::Copy> = others.filter(|copy| copy.serves).collect();
     match keep {
         Keep::One => !remaining.is_empty(),
-        Keep::Spread(copies) => {
+        Keep::Redundant(copies) => {
             remaining.len() >= copies
                 && spans_domains(draft, &remaining)
                 && can_absorb(draft, &remaining, here.share)
--- a/crates/cranberrygap-placement/src/plan/repair.rs
+++ b/crates/cranberrygap-placement/src/plan/repair.rs
@@ -79,7 +79,7 @@
         .collect();
     let footprint = draft.models[index].footprint;
     let candidates = (0..draft.runners.len())
-        .filter(|runner| draft.runners[*runner].usable && !draft.has(*runner, index));
+        .filter(|runner| draft.runners[*runner].usable && !draft.has_copy(*runner, index));
     let fits = candidates
         .clone()
         .filter(|runner| draft.runners[*runner].free >= footprint)
@@ -99,7 +99,7 @@
     let keep = if reason == plan::Reason::Unreachable {
         eviction::Keep::One
     } else {
-        eviction::Keep::Spread(draft.settings.copies)
+        eviction::Keep::Redundant(draft.settings.copies)
     };
     let elsewhere: Vec<usize> = candidates
         .filter(|runner| {
--- a/crates/cranberrygap-placement/src/residency/planner/adapters.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/adapters.rs
@@ -137,7 +137,7 @@
         if runner.inventory.draining_count() >= runner.wanted_adapters.len() {
             return None;
         }
-        runner.evict_idle_adapter(now)
+        runner.idle_adapter_eviction(now)
     }
 
     /// Marks the waiters as ready whose adapter a report shows.
@@ -261,7 +261,7 @@
     }
 
     /// The order that evicts the least recently used idle adapter.
-    fn evict_idle_adapter(&self, now: duration::Instant) -> Option<order::Action> {
+    fn idle_adapter_eviction(&self, now: duration::Instant) -> Option<order::Action> {
         let offered = self.inventory.offered_adapters();
         let idle = offered.filter(|(_, used)| now.since(**used) >= MIN_IDLE_TIME);
         let ((model, adapter), _) = idle.min_by_key(|(_, used)| **used)?;
--- a/crates/cranberrygap-placement/src/residency/planner/updates.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/updates.rs
@@ -61,8 +61,8 @@
         runner.address = announcement.address;
         runner.announced = announced_models(announcement);
         if let Some(details) = &announcement.details {
-            runner.cached = details.cached.iter().cloned().collect();
-            runner.stored = details.stored.iter().cloned().collect();
+            runner.host_copies = details.cached.iter().cloned().collect();
+            runner.disk_copies = details.stored.iter().cloned().collect();
         }
         let observation = diagnostics::Observation {
             source: diagnostics::Source::Announcement(announcement.sequence),
@@ -382,8 +382,8 @@
         sequence: INITIAL_SEQUENCE,
         announced: BTreeSet::new(),
         inventory: inventory::Inventory::from_announcement(BTreeSet::new(), adapters, observation),
-        cached: BTreeSet::new(),
-        stored: BTreeSet::new(),
+        host_copies: BTreeSet::new(),
+        disk_copies: BTreeSet::new(),
         report_requested_at: None,
         in_flight: None,
         execution: None,
--- a/crates/cranberrygap-placement/src/residency/rebalance.rs
+++ b/crates/cranberrygap-placement/src/residency/rebalance.rs
@@ -161,7 +161,7 @@
 
     /// Share of a runner's time that its models take.
     #[must_use]
-    pub fn load(&self, endpoint: &id::Endpoint) -> f64 {
+    pub fn runner_load(&self, endpoint: &id::Endpoint) -> f64 {
         let index = self.runners.keys().position(|name| name == endpoint);
         index.map_or(0.0, |index| self.loads[index])
     }
@@ -275,7 +275,7 @@
     /// second.
     fn is_stored_locally(&self, model: &id::Model) -> bool {
         let mut ready = self.runners.values().filter(|runner| runner.ready);
-        ready.any(|runner| runner.stored.contains(model) || runner.cached.contains(model))
+        ready.any(|runner| runner.disk_copies.contains(model) || runner.host_copies.contains(model))
     }
 
     fn lowest_copy_load(&self, model: &id::Model) -> Option<f64> {
@@ -340,7 +340,8 @@
         let candidates = self
             .sufficient_evictions(runner, free, incoming)
             .filter(|model| {
-                let can_reload = runner.stored.contains(*model) && self.work(model) < MAX_IDLE_WORK;
+                let can_reload =
+                    runner.disk_copies.contains(*model) && self.work(model) < MAX_IDLE_WORK;
                 can_reload || self.confirmed_elsewhere(name, model) > 0
             });
         let cheapest = candidates.min_by(|left, right| {
--- a/crates/cranberrygap-placement/src/residency/runner.rs
+++ b/crates/cranberrygap-placement/src/residency/runner.rs
@@ -78,9 +78,9 @@
     /// What occupies its memory and adapter slots.
     pub inventory: inventory::Inventory,
     /// Models with a copy in its host memory.
-    pub cached: BTreeSet<id::Model>,
+    pub host_copies: BTreeSet<id::Model>,
     /// Models with a copy on its disk.
-    pub stored: BTreeSet<id::Model>,
+    pub disk_copies: BTreeSet<id::Model>,
     /// When a report was requested that has not arrived.
     pub report_requested_at: Option<duration::Instant>,
     /// The order that has no answer yet.
@@ -183,10 +183,10 @@
         model: &id::Model,
         weights: &engine::Weights,
     ) -> (duration::Span, bool) {
-        if self.cached.contains(model) {
+        if self.host_copies.contains(model) {
             return (weights.load_from_host, false);
         }
-        if self.stored.contains(model) {
+        if self.disk_copies.contains(model) {
             return (weights.load_from_disk, false);
         }
         (weights.load_from_store, true)
