--- a/crates/cranberrygap-bench/src/measure/leader.rs
+++ b/crates/cranberrygap-bench/src/measure/leader.rs
@@ -6,10 +6,10 @@
 use std::time::Instant;
 
 use clap::Parser;
-use cranberrygap_control::{encoded, gather, leadership};
+use cranberrygap_control::{delta, encoded, leadership};
 use cranberrygap_model::{duration, id, number, token};
+use cranberrygap_policy::leader_calls;
 use cranberrygap_policy::limits::{self, granter};
-use cranberrygap_policy::pace;
 use cranberrygap_wire::{share, view};
 use serde_json::{Value, json};
 
@@ -60,11 +60,11 @@
     let renewal = renewal_micros(entries, arguments);
     let lease = lease_micros(entries, arguments.rounds);
     let frame = frame_micros(arguments.rounds);
-    let gap = pace::gap(entries);
-    let renewals = calls(entries, limits::PERIOD.max(gap));
+    let gap = leader_calls::min_interval(entries);
+    let renewals = calls(entries, limits::RENEWAL_INTERVAL.max(gap));
     let wanted = 1.0 / HEARTBEAT.as_secs_f64() + CHANGES;
     let confirmations = entries as f64 * wanted.min(1.0 / gap.as_secs_f64());
-    let frames = 1.0 / pace::gap(1).as_secs_f64();
+    let frames = 1.0 / leader_calls::min_interval(1).as_secs_f64();
     json!({
         "entries": entries,
         "renewal_micros": renewal,
@@ -119,7 +119,7 @@
         .map(|number| (workspace(number), limit))
         .collect();
     let mut granter = granter::Granter::new(at(0), number::Term(1), &limits, &[]);
-    let turn = limits::PERIOD.0 / 1_000;
+    let turn = limits::RENEWAL_INTERVAL.0 / 1_000;
     let mut shares: BTreeMap<(usize, id::Workspace), u64> = BTreeMap::new();
     let mut renew = |round: u64| {
         let entry = usize::try_from(round).unwrap_or_default() % entries;
@@ -180,7 +180,7 @@
             announcements: Vec::new(),
             demands: Vec::new(),
         };
-        black_box(office.confirm(at(round), &confirm));
+        black_box(office.grant_lease(at(round), &confirm));
     })
 }
 
@@ -192,11 +192,11 @@
         retiring: Vec::new(),
         adapters: vec!["model/a1".parse().expect("a plain name")],
     };
-    let change = Arc::new(encoded::Encoded::new(view::Change::Resided { residency }));
+    let change = Arc::new(encoded::Change::new(view::Change::Resided { residency }));
     micros(rounds, |round| {
-        let mut waiting = gather::Gather::default();
-        waiting.take(number::Revision(round), &[Arc::clone(&change)]);
-        let frame = waiting.frame(at(round));
+        let mut waiting = delta::Buffer::default();
+        waiting.push(number::Revision(round), &[Arc::clone(&change)]);
+        let frame = waiting.take_delta(at(round));
         black_box(serde_json::value::to_raw_value(&frame).expect("frames have text keys only"));
     })
 }
--- a/crates/cranberrygap-entry/src/caller/services.rs
+++ b/crates/cranberrygap-entry/src/caller/services.rs
@@ -118,7 +118,7 @@
             self.book(call).await
         };
         if !matches!(&outcome, Err(refusal) if is_not_run(refusal)) {
-            permit.use_all();
+            permit.mark_all_used();
         }
         ending::write(outcome?, response);
         Ok(())
@@ -160,7 +160,7 @@
     /// retry budget and the deadline allow.
     async fn look_up(&self, call: &Call) -> Result<ending::Ending, Refusal> {
         let deadline = self.core.now().after(call.deadline);
-        self.core.retries.lock().request();
+        self.core.retries.lock().record_request();
         let mut tried = route::Tried::new();
         let mut outcome = Outcome::NotRun;
         for number in 1.. {
@@ -176,10 +176,10 @@
             let ending::Ending::Failed(evidence) = ending else {
                 return Ok(ending);
             };
-            outcome = outcome.and_then(Outcome::of(evidence));
+            outcome = outcome.combined_with(Outcome::from_evidence(evidence));
             let attempt = retry::Attempt {
                 class: retry::Class::Idempotent,
-                number,
+                dispatches: number,
                 outcome,
                 deadline,
             };
@@ -202,7 +202,7 @@
             let mut budget = self.core.retries.lock();
             budget.decide(now, attempt, &mut rand::rng())
         };
-        let retry::Decision::Again(wait) = decision else {
+        let retry::Decision::Retry(wait) = decision else {
             return false;
         };
         tokio::time::sleep(wait.to_std()).await;
@@ -210,7 +210,7 @@
     }
 
     /// An endpoint that was not tried, or the first again when all were.
-    fn choose_another(&self, call: &Call, tried: &mut route::Tried) -> Option<route::Choice> {
+    fn choose_another(&self, call: &Call, tried: &mut route::Tried) -> Option<route::Destination> {
         let mut choice = self.choose(call, tried);
         if choice.is_none() {
             tried.clear();
@@ -277,8 +277,8 @@
         ending::to_input(&ending)
     }
 
-    fn choose(&self, call: &Call, tried: &route::Tried) -> Option<route::Choice> {
-        let wanted = route::Wanted {
+    fn choose(&self, call: &Call, tried: &route::Tried) -> Option<route::Destination> {
+        let wanted = route::Query {
             model: None,
             service: Some(&call.service),
             tried,
@@ -289,7 +289,7 @@
     async fn dispatch(
         &self,
         call: &Call,
-        choice: &route::Choice,
+        choice: &route::Destination,
         client: &reqwest::Client,
     ) -> ending::Ending {
         let about = call.about().at(&choice.endpoint);
@@ -298,28 +298,30 @@
         let ending = self.send(call, choice, client).await;
         let sentence = match &ending {
             ending::Ending::Answered { .. } => "the endpoint answered",
-            ending::Ending::Failed(evidence) => match Outcome::of(*evidence) {
+            ending::Ending::Failed(evidence) => match Outcome::from_evidence(*evidence) {
                 Outcome::NotRun => "it is proven that the call did not run",
                 _ => "no whole answer came; the call may have run",
             },
         };
         self.core.trace.note(&about, "ended", sentence, &[]);
         let failed = matches!(ending, ending::Ending::Failed(_));
-        self.core.router.ended(self.core.now(), choice, failed);
+        self.core
+            .router
+            .record_ended(self.core.now(), choice, failed);
         ending
     }
 
     async fn send(
         &self,
         call: &Call,
-        choice: &route::Choice,
+        choice: &route::Destination,
         client: &reqwest::Client,
     ) -> ending::Ending {
         let url = format!("http://{}{}", choice.address, call.path);
         let mut sending = client
             .request(call.method.clone(), url)
             .timeout(Duration::from_micros(call.deadline.0))
-            .header(engine::REQUEST, call.id.as_str())
+            .header(engine::REQUEST_ID_HEADER, call.id.as_str())
             .body(Bytes::clone(&call.body));
         if let Some(content_type) = &call.content_type {
             sending = sending.header(header::CONTENT_TYPE, content_type);
@@ -329,7 +331,7 @@
         }
         match sending.send().await {
             Ok(answer) => ending::read_answer(answer).await,
-            Err(cause) => ending::Ending::Failed(engine::evidence(&cause)),
+            Err(cause) => ending::Ending::Failed(engine::evidence_of(&cause)),
         }
     }
 }
