--- a/crates/cranberrygap-placement/src/journal.rs
+++ b/crates/cranberrygap-placement/src/journal.rs
@@ -27,7 +27,7 @@
 pub enum Record {
     /// A leader starts to issue orders under this fence.
     Opened {
-        /// Its fencing number, higher than all before.
+        /// Fencing number of the leader, higher than all before.
         fence: number::Fence,
     },
     /// An order is about to be sent; logged before its first byte is sent.
@@ -39,7 +39,7 @@
     Ended {
         /// Id of the order.
         order: id::Order,
-        /// Its endpoint.
+        /// Endpoint of the order.
         endpoint: id::Endpoint,
         /// The boot that gave the evidence.
         boot: number::Boot,
@@ -53,9 +53,9 @@
 /// The newest evidence about an endpoint in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Floor {
-    /// The boot that gave it.
+    /// The boot that gave the evidence.
     pub boot: number::Boot,
-    /// Its residency number.
+    /// Residency number of the evidence.
     pub residency: number::Sequence,
 }
 
--- a/crates/cranberrygap-placement/src/ledger/account.rs
+++ b/crates/cranberrygap-placement/src/ledger/account.rs
@@ -13,19 +13,19 @@
 pub struct Account {
     /// Address that orders are sent to.
     pub address: address::Socket,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: id::Domain,
-    /// Whether it may get requests and orders.
+    /// Whether the endpoint may get requests and orders.
     pub health: view::Health,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the endpoint refuses orders with an old fencing number.
     pub checks_fence: bool,
-    /// Number of its accelerators.
+    /// Number of accelerators of the endpoint.
     pub accelerators: u32,
     /// Memory for weights and KV cache.
     pub memory: size::Bytes,
     /// Part of the memory that is kept for the KV cache.
     pub reserve: size::Bytes,
-    /// The boot that reported to this leader; none before its first report.
+    /// The boot that reported to this leader; none before the first report.
     pub boot: Option<number::Boot>,
     /// Sequence number of the list of resident models.
     pub residency: number::Sequence,
@@ -79,13 +79,14 @@
         self.boot.is_some() && self.health == view::Health::Ready
     }
 
-    /// Whether a copy is proven to serve here and no order may remove it.
+    /// Whether a copy is proven to serve on this endpoint and no order may remove it.
     #[must_use]
     pub fn serves(&self, model: &id::Model) -> bool {
         self.is_usable() && self.resident.contains_key(model) && !self.has_open_unload(model)
     }
 
-    /// Whether a copy serves here or is being loaded, and no order may remove it.
+    /// Whether a copy serves on this endpoint or is being loaded, and no order may remove
+    /// it.
     #[must_use]
     pub fn will_serve(&self, model: &id::Model) -> bool {
         let present = self.resident.contains_key(model) || self.has_open_load(model);
--- a/crates/cranberrygap-placement/src/plan/draft.rs
+++ b/crates/cranberrygap-placement/src/plan/draft.rs
@@ -17,17 +17,17 @@
 pub struct Runner {
     /// Name of the endpoint.
     pub endpoint: id::Endpoint,
-    /// Index of its failure domain.
+    /// Index of the runner's failure domain.
     pub domain: usize,
-    /// Whether orders can go to it.
+    /// Whether orders can be sent to the runner.
     pub usable: bool,
     /// Free memory in bytes, less what this round already wants to load.
     pub free: u64,
-    /// Demand per second that it should serve.
+    /// Demand per second that the runner should serve.
     pub capacity: f64,
-    /// Demand per second assigned to it, including the cost of weights.
+    /// Demand per second assigned to the runner, including the cost of weights.
     pub load: f64,
-    /// Indices of the base models that it has or will have.
+    /// Indices of the base models that the runner has or will have.
     pub models: Vec<usize>,
 }
 
@@ -48,11 +48,11 @@
 /// One copy of a base model.
 #[derive(Debug, Clone, Copy)]
 pub struct Copy {
-    /// Index of its runner.
+    /// Index of the copy's runner.
     pub runner: usize,
-    /// Whether it serves now, as opposed to loading.
+    /// Whether the copy serves now, as opposed to loading.
     pub serves: bool,
-    /// Demand per second assigned to it; zero for a standby copy.
+    /// Demand per second assigned to the copy; zero for a standby copy.
     pub share: f64,
 }
 
@@ -61,22 +61,22 @@
 pub struct Model {
     /// Name of the model.
     pub name: id::Model,
-    /// Size in bytes with all its adapters.
+    /// Size in bytes of the model with all its adapters.
     pub footprint: u64,
-    /// Expected demand per second, including that of its adapters.
+    /// Expected demand per second, including that of the adapters.
     pub demand: f64,
-    /// Demand per second that could not be assigned to its copies.
+    /// Demand per second that could not be assigned to the copies.
     pub overflow: f64,
     /// Demand per second that a runner serves less while the model is active there.
     pub activation_cost: f64,
-    /// Its copies on usable runners.
+    /// Copies on usable runners.
     pub copies: Vec<Copy>,
 }
 
 /// The fleet as one round sees and changes it.
 #[derive(Debug)]
 pub struct Draft<'a> {
-    /// The ledger that it was made from.
+    /// The ledger that the draft was made from.
     pub ledger: &'a ledger::Ledger,
     /// The weight store's list.
     pub catalogue: &'a catalogue::Catalogue,
--- a/crates/cranberrygap-placement/src/residency/diagnostics.rs
+++ b/crates/cranberrygap-placement/src/residency/diagnostics.rs
@@ -22,9 +22,9 @@
 /// The last observation of a runner's models.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
-    /// Where it came from.
+    /// Source of the observation.
     pub source: Source,
-    /// When it arrived.
+    /// When the observation arrived.
     pub at: duration::Instant,
 }
 
@@ -52,7 +52,7 @@
 pub struct Difference {
     /// The runner.
     pub endpoint: id::Endpoint,
-    /// The observation before.
+    /// The previous observation.
     pub previous: Observation,
     /// The observation that differs.
     pub observation: Observation,
--- a/crates/cranberrygap-placement/src/residency/order.rs
+++ b/crates/cranberrygap-placement/src/residency/order.rs
@@ -23,15 +23,15 @@
 pub struct Order {
     /// Identifies the order when its answer arrives.
     pub number: u64,
-    /// The runner that executes it.
+    /// The runner that executes the order.
     pub endpoint: id::Endpoint,
-    /// The runner process that it is meant for.
+    /// The runner process that the order is meant for.
     pub boot: number::Boot,
     /// Address of the runner.
     pub address: address::Socket,
     /// Number of orders that the runner has accepted before this one.
     pub expected_count: u64,
-    /// The change that it asks for.
+    /// The change that the order asks for.
     pub action: Action,
 }
 
--- a/crates/cranberrygap-placement/src/residency/planner/adapters.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/adapters.rs
@@ -140,7 +140,7 @@
         runner.idle_adapter_eviction(now)
     }
 
-    /// Marks the waiters as ready whose adapter a report shows.
+    /// Marks waiters as ready if a report shows their adapter.
     pub(super) fn mark_waiters_ready(&mut self, now: duration::Instant, name: &id::Endpoint) {
         let Some(runner) = self.runners.get_mut(name) else {
             return;
--- a/crates/cranberrygap-placement/src/residency/planner/stale_orders.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/stale_orders.rs
@@ -23,7 +23,7 @@
 }
 
 impl OutstandingLoad {
-    /// Whether it is the order of this number.
+    /// Whether the load was ordered under this number.
     pub(super) const fn has_number(&self, number: u64) -> bool {
         self.order.number == number
     }
--- a/crates/cranberrygap-placement/src/residency/planner/updates.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/updates.rs
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Whether an idle runner's report precedes the earliest time at which its execution
-    /// can have failed, without showing it done.
+    /// Whether a report of an idle runner comes before the runner's execution can have
+    /// failed and doesn't show the result.
     fn is_premature(&self, now: duration::Instant, report: &order::Report) -> bool {
         let Some(execution) = &self.execution else {
             return false;
@@ -329,7 +329,7 @@
         self.report_requested_at = Some(now);
     }
 
-    /// Continues a move whose outgoing model is gone with the load that follows.
+    /// Continues a move with its load after the outgoing model is gone.
     fn continue_after_unload(&mut self) {
         self.moving = match self.moving.take() {
             Some(runner::Move::Unloading {
--- a/crates/cranberrygap-placement/src/residency/runner.rs
+++ b/crates/cranberrygap-placement/src/residency/runner.rs
@@ -40,11 +40,11 @@
 pub struct InFlight {
     /// The order.
     pub order: order::Order,
-    /// When it was last sent.
+    /// When the order was last sent.
     pub sent_at: duration::Instant,
     /// Sequence number of the last announcement before the order was first sent.
     pub sequence_before: number::Sequence,
-    /// Whether it was sent more than once.
+    /// Whether the order was sent more than once.
     pub resent: bool,
 }
 
@@ -67,27 +67,27 @@
     pub boot: number::Boot,
     /// Address of the runner.
     pub address: address::Socket,
-    /// The service that it belongs to.
+    /// Service of the runner.
     pub service: id::Service,
-    /// Whether it may get new requests.
+    /// Whether the runner may get new requests.
     pub ready: bool,
     /// Sequence number of the latest announcement.
     pub sequence: number::Sequence,
-    /// Models in its latest announcement.
+    /// Models in the latest announcement.
     pub announced: BTreeSet<id::Model>,
-    /// What occupies its memory and adapter slots.
+    /// Models and adapters that occupy the runner.
     pub inventory: inventory::Inventory,
-    /// Models with a copy in its host memory.
+    /// Models with a copy in the runner's host memory.
     pub host_copies: BTreeSet<id::Model>,
-    /// Models with a copy on its disk.
+    /// Models with a copy on the runner's disk.
     pub disk_copies: BTreeSet<id::Model>,
     /// When a report was requested that has not arrived.
     pub report_requested_at: Option<duration::Instant>,
     /// The order that has no answer yet.
     pub in_flight: Option<InFlight>,
-    /// The model order that it executes.
+    /// The model order that the runner executes.
     pub execution: Option<Execution>,
-    /// The unfinished change of its models.
+    /// The unfinished change of the runner's models.
     pub moving: Option<Move>,
     /// Adapters to load next.
     pub wanted_adapters: VecDeque<Adapter>,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether its latest announcement differs from the inventory while no order is open.
+    /// Whether the latest announcement differs from the inventory while no order is open.
     /// A report may be older than the announcement, so it decides nothing while this
     /// lasts.
     #[must_use]
@@ -147,7 +147,7 @@
         idle && self.inventory.has_report() && self.announced != *self.inventory.models()
     }
 
-    /// Models that it serves once the moves under way are done.
+    /// Models that the runner serves once the moves under way are done.
     pub fn future_models(&self) -> impl Iterator<Item = &id::Model> {
         let outgoing = self.outgoing_model();
         let stay = self
@@ -169,14 +169,15 @@
         engine.memory.0.saturating_sub(used)
     }
 
-    /// Whether a move of its models may begin.
+    /// Whether a move of the runner's models may begin.
     #[must_use]
     pub const fn is_idle(&self) -> bool {
         let unoccupied = self.moving.is_none() && self.execution.is_none();
         self.ready && unoccupied && self.inventory.accepted_count().is_some()
     }
 
-    /// Time of a load of `model` here, and whether it counts against the store's rate.
+    /// Time of a load of `model` at the runner, and whether the load counts against the
+    /// store's rate.
     #[must_use]
     pub fn load_time(
         &self,
--- a/crates/cranberrygap-routing/src/prompt/latency.rs
+++ b/crates/cranberrygap-routing/src/prompt/latency.rs
@@ -2,8 +2,8 @@
 //!
 //! Engines of different customers differ several times over in the speed of prefill and
 //! of generation, and so do the models at one engine; no one configures these speeds.
-//! With figures of one customer in the code, an entry refused at another one requests
-//! that its engines would have begun within half the objective.
+//! With figures of one customer in the code, an entry of another customer refused
+//! requests that its engines would have begun within half the objective.
 
 use std::collections::BTreeMap;
 
--- a/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
+++ b/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! Tracks which parts of prompts an engine has cached, as far as this entry sent them
-//! there.
+//! Tracks which parts of prompts an engine has cached, as far as this entry sent them to
+//! it.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 pub struct Part {
     /// Id of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length of the part in tokens.
     pub tokens: u64,
 }
 
@@ -61,7 +61,7 @@
         self.links.get(shared).map(|(link_id, _)| *link_id)
     }
 
-    /// Number of tokens that it shares with other prompts of its session.
+    /// Number of tokens that the prompt shares with other prompts of its session.
     #[must_use]
     pub fn shared_tokens(&self) -> u64 {
         let shared = self.links.len().saturating_sub(1);
--- a/crates/cranberrygap-routing/src/prompt/selection.rs
+++ b/crates/cranberrygap-routing/src/prompt/selection.rs
@@ -20,26 +20,26 @@
 pub struct Candidate<'known> {
     /// Name of the engine.
     pub endpoint: &'known id::Endpoint,
-    /// Work that waits there.
+    /// Work that waits at the engine.
     pub backlog: backlog::Backlog,
-    /// Prefill time of what was sent there within [`window::LENGTH`].
+    /// Prefill time of the prompts sent to the engine within [`window::LENGTH`].
     pub recent_prefill: duration::Span,
-    /// Tokens of the prompt that this entry knows to be cached there.
+    /// Tokens of the prompt that this entry knows to be cached at the engine.
     pub cached_tokens: u64,
-    /// Whether the prompt's session has its affinity there.
+    /// Whether the engine has the highest affinity to the prompt's session.
     pub has_affinity: bool,
-    /// Whether it is in this entry's failure domain.
+    /// Whether the engine is in this entry's failure domain.
     pub same_domain: bool,
-    /// Whether it holds the requested adapter, if there is one.
+    /// Whether the engine holds the requested adapter, if one is requested.
     pub has_adapter: bool,
-    /// Share of recent requests sent there that it failed, 0 to 1.
+    /// Share of the recent requests to the engine that failed, 0 to 1.
     pub failure_rate: f64,
 }
 
 /// A request as the selection sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// Its rank; 0 is the most urgent.
+    /// Rank of the request; 0 is the most urgent.
     pub rank: usize,
     /// Number of prompt tokens.
     pub prompt_tokens: u64,
@@ -50,7 +50,7 @@
     /// Recent prefill time up to which a large prompt may go to an engine although it
     /// exceeds the budget.
     pub large_prompt_grace: duration::Span,
-    /// Latency estimate of requests for its model.
+    /// Latency estimate of the request's model.
     pub latency: latency::Estimate,
     /// Requests in one batch of an engine; 0 if unknown.
     pub slots: u32,
@@ -67,23 +67,23 @@
     pub endpoint: id::Endpoint,
     /// Predicted time to the first event.
     pub time_to_first_event: duration::Span,
-    /// Prompt tokens to prefill.
+    /// Prompt tokens that the engine has to prefill.
     pub uncached_tokens: u64,
-    /// Time to prefill them.
+    /// Time to prefill the uncached tokens.
     pub prefill_time: duration::Span,
-    /// Prefill time of all prompts that wait there.
+    /// Prefill time of all prompts that wait at the engine.
     pub queued_prefill: duration::Span,
-    /// The part of it that is prefilled before this prompt.
+    /// Prefill time of the waiting prompts that come before this one.
     pub prefill_ahead: duration::Span,
-    /// Requests that run or wait there.
+    /// Requests that run or wait at the engine.
     pub running: u32,
-    /// Prefill time of what was sent there within [`window::LENGTH`].
+    /// Prefill time of the prompts sent to the engine within [`window::LENGTH`].
     pub recent_prefill: duration::Span,
 }
 
 impl Choice {
-    /// Whether the prompt fits beside what was sent there recently. One that exceeds the
-    /// budget by itself goes to an engine that got nothing.
+    /// Whether the prompt fits beside what was sent to the engine recently. A prompt that
+    /// exceeds the budget by itself goes to an engine that got nothing.
     #[must_use]
     pub const fn fits(&self, request: &Request) -> bool {
         request.fits(self.recent_prefill, self.prefill_time)
--- a/crates/cranberrygap-routing/src/router.rs
+++ b/crates/cranberrygap-routing/src/router.rs
@@ -83,11 +83,11 @@
 /// State of one endpoint as an entry knows it.
 #[derive(Debug, Clone)]
 pub struct EndpointState {
-    /// Its load estimate.
+    /// Load estimate of the endpoint.
     pub load: load::Estimate,
-    /// Its batch limit within the latency target.
+    /// Batch limit of the endpoint within the latency target.
     pub batch: batch::Estimator,
-    /// Its cached prefixes.
+    /// Prefixes that the endpoint has cached.
     pub prefix: prefix::Index,
 }
 
