--- a/crates/cranberrygap-placement/src/catalogue.rs
+++ b/crates/cranberrygap-placement/src/catalogue.rs
@@ -14,7 +14,7 @@
 }
 
 impl Catalogue {
-    /// Creates the catalogue from the weight store's list; the last version of a name is
+    /// Creates the catalogue from the weight store's list. The last version of a name is
     /// current.
     #[must_use]
     pub fn new(list: &[endpoint::Weights]) -> Self {
--- a/crates/cranberrygap-placement/src/ledger/account.rs
+++ b/crates/cranberrygap-placement/src/ledger/account.rs
@@ -85,8 +85,7 @@
         self.is_usable() && self.resident.contains_key(model) && !self.has_open_unload(model)
     }
 
-    /// Whether a copy serves on this endpoint or is being loaded, and no order may remove
-    /// it.
+    /// Whether a copy serves or is being loaded, and no order may remove it.
     #[must_use]
     pub fn will_serve(&self, model: &id::Model) -> bool {
         let present = self.resident.contains_key(model) || self.has_open_load(model);
--- a/crates/cranberrygap-placement/src/orders.rs
+++ b/crates/cranberrygap-placement/src/orders.rs
@@ -1,5 +1,5 @@
-//! Executes plans: which order is sent when, by the store's limits, resends and
-//! priorities.
+//! Executes plans by sending orders. The store's limits, resends and priorities decide
+//! which order is sent when.
 
 use std::collections::BTreeMap;
 
@@ -68,8 +68,8 @@
 const PROPOSAL_TIMEOUT: duration::Span = duration::Span::from_secs(2);
 
 impl Executor {
-    /// Creates the executor of a leader whose term began at `now`; `lease` is how long a
-    /// predecessor may still send.
+    /// Creates the executor of a leader whose term began at `now`. A predecessor may
+    /// still send for the time of `lease`.
     #[must_use]
     pub fn new(
         now: duration::Instant,
--- a/crates/cranberrygap-placement/src/plan.rs
+++ b/crates/cranberrygap-placement/src/plan.rs
@@ -22,8 +22,8 @@
 /// Settings of placement.
 #[derive(Debug, Clone, Copy, PartialEq, bon::Builder)]
 pub struct Settings {
-    /// Demand per second that one accelerator serves within the latency targets, before
-    /// the cost of reading weights.
+    /// Demand per second that one accelerator serves within the latency targets. The cost
+    /// of reading weights is not included.
     pub demand_per_accelerator: f64,
     /// Demand per second that a runner serves less for each GiB of active weights.
     #[builder(default = 0.0)]
--- a/crates/cranberrygap-placement/src/plan/eviction.rs
+++ b/crates/cranberrygap-placement/src/plan/eviction.rs
@@ -12,11 +12,11 @@
     Redundant(usize),
 }
 
-/// Unloads copies on the one of `runners` where that costs least, so that `wanted` bytes
-/// become free.
+/// Unloads copies at one runner, so that `wanted` bytes become free.
 ///
-/// Does nothing while one of the runners is unloading already: the same request comes
-/// again each round until the unload is reported.
+/// The one of `runners` is chosen where that costs least. Does nothing while one of the
+/// runners is unloading already: the same request comes again each round until the unload
+/// is reported.
 pub fn make_room(draft: &mut draft::Draft<'_>, runners: &[usize], needed: u64, keep: Keep) -> bool {
     if runners.iter().any(|runner| is_unloading(draft, *runner)) {
         return false;
--- a/crates/cranberrygap-placement/src/plan/repair.rs
+++ b/crates/cranberrygap-placement/src/plan/repair.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// Loads another copy of every model that one failure could make unreachable, models with
-/// the most demand first.
+/// Loads another copy of every model that one failure could make unreachable. Models with
+/// the most demand go first.
 pub fn load_at_risk(draft: &mut draft::Draft<'_>) {
     for index in by_demand(draft) {
         if is_at_risk(draft, index) {
--- a/crates/cranberrygap-placement/src/residency/engine.rs
+++ b/crates/cranberrygap-placement/src/residency/engine.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Memory in bytes that models and adapters take; an unknown model counts as the
+    /// Memory in bytes that models and adapters take. An unknown model counts as the
     /// largest known one.
     #[must_use]
     pub fn memory_used<'held>(
--- a/crates/cranberrygap-placement/src/residency/inventory.rs
+++ b/crates/cranberrygap-placement/src/residency/inventory.rs
@@ -196,8 +196,8 @@
         inventory
     }
 
-    /// Sets the count that an answer or report implies, without raising the certain one:
-    /// it holds only if the runner accepted the order then.
+    /// Sets the count that an answer or report implies. The certain count is not raised:
+    /// the new one holds only if the runner accepted the order then.
     pub fn set_count(&mut self, count: u64) {
         self.accepted_count = Some(count);
     }
@@ -229,7 +229,7 @@
         self.adapters.insert(adapter, now);
     }
 
-    /// Marks an adapter as draining: it is unloaded when its requests have ended, and
+    /// Marks an adapter as draining. It is unloaded when its requests have ended, and
     /// takes its slot until a later report no longer lists it.
     pub fn mark_draining(&mut self, adapter: &runner::Adapter) {
         if self.adapters.contains_key(adapter) {
--- a/crates/cranberrygap-placement/src/residency/load_bucket.rs
+++ b/crates/cranberrygap-placement/src/residency/load_bucket.rs
@@ -40,7 +40,7 @@
         self.tokens >= 1.0
     }
 
-    /// Whether standby loads may start: enough tokens remain for the next loads that
+    /// Whether standby loads may start. Enough tokens remain for the next loads that
     /// callers wait for.
     pub fn is_full(&mut self, now: duration::Instant) -> bool {
         self.refill(now);
--- a/crates/cranberrygap-placement/src/residency/planner.rs
+++ b/crates/cranberrygap-placement/src/residency/planner.rs
@@ -53,11 +53,11 @@
     Send(order::Order),
     /// Request a report from this runner.
     FetchReport(id::Endpoint),
-    /// Publish to all entries which model this runner is about to unload and which
-    /// adapters it holds.
+    /// Publish the residency of this runner to all entries. It names the model that is
+    /// about to be unloaded and the adapters that the runner holds.
     PublishResidency(id::Endpoint),
-    /// Answer the adapter request with this ticket: the runner that has the adapter, or
-    /// none.
+    /// Answer the adapter request with this ticket. Names the runner that has the
+    /// adapter, or none.
     ResolveAdapter(u64, Option<id::Endpoint>),
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl Planner {
-    /// Creates the planner of a leader whose term began at `now` and that may order after
+    /// Creates the planner of a leader. Its term began at `now`, and it may order after
     /// `wait`.
     #[must_use]
     pub fn new(
--- a/crates/cranberrygap-placement/src/residency/planner/adapters.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/adapters.rs
@@ -23,10 +23,10 @@
 const MIN_IDLE_TIME: duration::Span = duration::Span::from_millis(1_500);
 
 impl Planner {
-    /// Requests an adapter on behalf of a request; [`Output::ResolveAdapter`] returns the
-    /// ticket.
+    /// Requests an adapter on behalf of a request.
     ///
-    /// `missing` is set if the preferred runner answered that it lacks the adapter.
+    /// [`Output::ResolveAdapter`] returns the ticket. `missing` is set if the preferred
+    /// runner answered that it lacks the adapter.
     pub fn request_adapter(
         &mut self,
         now: duration::Instant,
--- a/crates/cranberrygap-placement/src/residency/planner/stale_orders.rs
+++ b/crates/cranberrygap-placement/src/residency/planner/stale_orders.rs
@@ -1,5 +1,4 @@
-//! Guards against stale loads: orders to a past process that reach the next process of
-//! the same name.
+//! Guards against stale loads, which reach a later process of the same name.
 //!
 //! Counts start anew with each process, and an order does not say to which process its
 //! count belongs. A delayed order is accepted when the new process reaches the count that
--- a/crates/cranberrygap-placement/src/residency/rebalance.rs
+++ b/crates/cranberrygap-placement/src/residency/rebalance.rs
@@ -87,8 +87,8 @@
 }
 
 impl<'planner> Rebalancer<'planner> {
-    /// Spreads `demand`, in seconds of one runner per second, over the existing and
-    /// incoming copies.
+    /// Spreads `demand` over the existing and incoming copies. Demand is in seconds of
+    /// one runner per second.
     #[must_use]
     pub fn new(
         engine: &'planner engine::Engine,
--- a/crates/cranberrygap-placement/src/residency/runner.rs
+++ b/crates/cranberrygap-placement/src/residency/runner.rs
@@ -55,8 +55,8 @@
     pub action: order::Action,
     /// When the execution should be done.
     pub due_at: duration::Instant,
-    /// Sequence number of the last announcement before the order; only a later one can
-    /// show the result.
+    /// Sequence number of the last announcement before the order. Only a later
+    /// announcement can show the result.
     pub sequence_before: number::Sequence,
 }
 
@@ -91,8 +91,8 @@
     pub moving: Option<Move>,
     /// Adapters to load next.
     pub wanted_adapters: VecDeque<Adapter>,
-    /// Earliest time of the next adapter order; the runner rejected one while it was
-    /// busy.
+    /// Earliest time of the next adapter order. It is set when the runner rejects one
+    /// because it is busy.
     pub adapter_orders_after: duration::Instant,
 }
 
@@ -176,8 +176,8 @@
         self.ready && unoccupied && self.inventory.accepted_count().is_some()
     }
 
-    /// Time of a load of `model` at the runner, and whether the load counts against the
-    /// store's rate.
+    /// Time of a load of `model` at the runner. The flag is set if the load counts
+    /// against the store's rate.
     #[must_use]
     pub fn load_time(
         &self,
--- a/crates/cranberrygap-routing/src/pending.rs
+++ b/crates/cranberrygap-routing/src/pending.rs
@@ -29,12 +29,12 @@
 }
 
 impl Request {
-    /// Whether so much of the time until its deadline has passed that the request should
-    /// run even if its batch becomes too large for the latency targets.
+    /// Whether the request should run even in a batch too large for the latency targets.
     ///
-    /// Under overload late requests would wait behind all timely ones until their
-    /// deadline, and be refused although their workspace is within its rate. A third of
-    /// the time leaves the rest for a slow answer.
+    /// That is so once a third of the time until its deadline has passed. Under overload
+    /// late requests would wait behind all timely ones until their deadline, and be
+    /// refused although their workspace is within its rate. A third of the time leaves
+    /// the rest for a slow answer.
     #[must_use]
     pub fn is_urgent(&self, now: duration::Instant) -> bool {
         let whole = self.deadline.since(self.arrived);
@@ -99,7 +99,7 @@
         self.len() == 0
     }
 
-    /// Takes out all requests whose deadline has passed; their final answer is due at
+    /// Takes out all requests whose deadline has passed. Their final answer is due at
     /// once.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<Request> {
         if now < self.earliest {
--- a/crates/cranberrygap-routing/src/prompt/backlog.rs
+++ b/crates/cranberrygap-routing/src/prompt/backlog.rs
@@ -13,8 +13,7 @@
 /// another's.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backlog {
-    /// Prefill time in microseconds of sent requests whose first event has not arrived,
-    /// by rank.
+    /// Prefill time in microseconds by rank, of sent requests without a first event.
     #[serde(rename = "unread")]
     pub queued_micros: [u32; RANKS],
     /// Number of sent requests that have not ended.
--- a/crates/cranberrygap-routing/src/prompt/latency.rs
+++ b/crates/cranberrygap-routing/src/prompt/latency.rs
@@ -125,7 +125,7 @@
         from_micros(output as f64 * self.output_per_token)
     }
 
-    /// Engine time that a request takes: its prompt is prefilled alone, and while it
+    /// Engine time that a request takes. Its prompt is prefilled alone, and while it
     /// generates it takes one of the `slots` of the batch.
     #[must_use]
     pub fn engine_time(&self, prompt: u64, output: u64, slots: u32) -> duration::Span {
@@ -133,8 +133,7 @@
         from_micros(prompt as f64 * self.prefill_per_token.micros + slot_time)
     }
 
-    /// Predicted time until the first event of a request with `uncached_tokens` to
-    /// prefill.
+    /// Predicted time until the first event of a request.
     #[must_use]
     pub fn time_to_first_event(
         &self,
@@ -193,7 +192,7 @@
     duration::Span(1).scaled(micros)
 }
 
-/// Latency estimates of all models of all services; an unknown model has its service's
+/// Latency estimates of all models of all services. An unknown model has its service's
 /// estimate.
 #[derive(Debug, Clone, Default)]
 pub struct Estimator {
@@ -216,8 +215,9 @@
         estimate.copied().unwrap_or_default()
     }
 
-    /// Records the first event of a request with `uncached_tokens`, `took` after it was
-    /// sent to an engine with a free slot, behind prompts that take `prefill_ahead`.
+    /// Records the time to the first event of a request with `uncached_tokens`. The event
+    /// came `took` after the request was sent to an engine with a free slot, behind
+    /// prompts that take `prefill_ahead`.
     pub fn observe_first_event(
         &mut self,
         service: &id::Service,
@@ -243,8 +243,8 @@
         });
     }
 
-    /// Records a complete answer of up to `output` tokens, `took` from its first event to
-    /// its end.
+    /// Records a complete answer of up to `output` tokens. It took `took` from its first
+    /// event to its end.
     pub fn observe_answer(
         &mut self,
         service: &id::Service,
--- a/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
+++ b/crates/cranberrygap-routing/src/prompt/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! Tracks which parts of prompts an engine has cached, as far as this entry sent them to
-//! it.
+//! Tracks which parts of prompts an engine has cached. Only parts that this entry sent
+//! are known.
 
 use std::collections::BTreeMap;
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// Affinity of a session to an engine; the session belongs to the engine with the highest
+/// Affinity of a session to an engine. The session belongs to the engine with the highest
 /// one.
 ///
 /// Entries don't see each other's choices. By affinity they send a session to the same
--- a/crates/cranberrygap-routing/src/prompt/selection.rs
+++ b/crates/cranberrygap-routing/src/prompt/selection.rs
@@ -47,8 +47,7 @@
     pub shared_tokens: u64,
     /// Prefill time that an engine may get within [`window::LENGTH`].
     pub prefill_budget: duration::Span,
-    /// Recent prefill time up to which a large prompt may go to an engine although it
-    /// exceeds the budget.
+    /// Recent prefill time beside which a large prompt may exceed the budget.
     pub large_prompt_grace: duration::Span,
     /// Latency estimate of the request's model.
     pub latency: latency::Estimate,
--- a/crates/cranberrygap-routing/src/router.rs
+++ b/crates/cranberrygap-routing/src/router.rs
@@ -75,8 +75,8 @@
     pub preferred: &'a [id::Endpoint],
     /// How full an endpoint may be.
     pub fill: Fill,
-    /// Share of its batch limit up to which an endpoint that is not preferred may be
-    /// full; zero excludes such endpoints.
+    /// Share of its batch limit up to which an endpoint may be full that is not
+    /// preferred. Zero excludes such endpoints.
     pub spill_fill: f64,
 }
 
