--- a/crates/cranberrygap-policy/src/claims.rs
+++ b/crates/cranberrygap-policy/src/claims.rs
@@ -10,10 +10,10 @@
 use crate::outcome::{Evidence, Outcome};
 
 /// Times that an outcome is told to the leader before it is left as running.
-const CLOSE_TRIES: u32 = 4;
+const MAX_CLOSE_ATTEMPTS: u32 = 4;
 
 /// Wait between two of these times.
-const CLOSE_WAIT: duration::Span = duration::Span::from_millis(250);
+const CLOSE_BACKOFF: duration::Span = duration::Span::from_millis(250);
 
 /// One booking of one caller.
 #[derive(Debug, Clone, PartialEq)]
@@ -30,7 +30,7 @@
     Closing {
         claim: u64,
         outcome: claim::Outcome,
-        tries: u32,
+        attempts: u32,
     },
     Done,
 }
@@ -107,7 +107,7 @@
     /// Takes one step; an input that does not fit the state changes nothing.
     pub fn step(&mut self, input: Input) -> Vec<Output> {
         match (std::mem::replace(&mut self.state, State::Done), input) {
-            (State::Opening, Input::Verdict(verdict)) => self.judged(verdict),
+            (State::Opening, Input::Verdict(verdict)) => self.handle_verdict(verdict),
             // Whatever became of the claim, nothing was sent and nothing will be.
             (State::Opening, Input::OpenFailed) => vec![Output::Reply(Reply::NoQuorum)],
             (State::Dispatched { claim }, Input::Answered(response)) => {
@@ -117,14 +117,14 @@
                 self.close(claim, outcome)
             }
             (State::Dispatched { claim }, Input::Ended(evidence)) => {
-                self.close(claim, from(evidence))
+                self.close(claim, claim_outcome(evidence))
             }
             (State::Closing { outcome, .. }, Input::Closed) => vec![Output::Reply(reply(outcome))],
             (
                 State::Closing {
                     claim,
                     outcome,
-                    tries,
+                    attempts: tries,
                 },
                 Input::CloseFailed,
             ) => self.close_again(claim, outcome, tries),
@@ -135,8 +135,8 @@
         }
     }
 
-    fn judged(&mut self, verdict: claim::Verdict) -> Vec<Output> {
-        let refusal = match verdict {
+    fn handle_verdict(&mut self, verdict: claim::Verdict) -> Vec<Output> {
+        let answer = match verdict {
             claim::Verdict::Granted { claim } => {
                 self.state = State::Dispatched { claim };
                 return vec![Output::Dispatch];
@@ -146,14 +146,14 @@
             claim::Verdict::Conflict => Reply::Conflict,
             claim::Verdict::Expired => Reply::Expired,
         };
-        vec![Output::Reply(refusal)]
+        vec![Output::Reply(answer)]
     }
 
     fn close(&mut self, claim: u64, outcome: claim::Outcome) -> Vec<Output> {
         self.state = State::Closing {
             claim,
             outcome: outcome.clone(),
-            tries: 1,
+            attempts: 1,
         };
         let after = duration::Span(0);
         vec![Output::Close {
@@ -166,15 +166,15 @@
     /// Without the record a resend learns "running" and later "unknown", never
     /// that it may run: worse for the caller than the truth, and still true.
     fn close_again(&mut self, claim: u64, outcome: claim::Outcome, tries: u32) -> Vec<Output> {
-        if tries >= CLOSE_TRIES {
+        if tries >= MAX_CLOSE_ATTEMPTS {
             return vec![Output::Reply(reply(outcome))];
         }
         self.state = State::Closing {
             claim,
             outcome: outcome.clone(),
-            tries: tries + 1,
+            attempts: tries + 1,
         };
-        let after = CLOSE_WAIT;
+        let after = CLOSE_BACKOFF;
         vec![Output::Close {
             claim,
             outcome,
@@ -183,7 +183,7 @@
     }
 }
 
-fn from(evidence: Evidence) -> claim::Outcome {
+fn claim_outcome(evidence: Evidence) -> claim::Outcome {
     match Outcome::from_evidence(evidence) {
         Outcome::NotRun => claim::Outcome::NotRun,
         Outcome::Answered | Outcome::Unknown => claim::Outcome::Unknown,
--- a/crates/cranberrygap-policy/src/fairness.rs
+++ b/crates/cranberrygap-policy/src/fairness.rs
@@ -10,15 +10,15 @@
 use cranberrygap_model::{duration, id, token};
 use serde::Serialize;
 
-mod pace;
+mod throughput;
 
-use pace::Pace;
+use throughput::Throughput;
 
 /// Counters are kept in thousandths of a token over the weight.
-const SCALE: f64 = 1_000.0;
+const COUNTER_UNITS_PER_TOKEN: f64 = 1_000.0;
 
 /// Shortest time after which a refused caller is told to come back.
-const LEAST_RETRY: duration::Span = duration::Span::from_millis(100);
+const MIN_RETRY_AFTER: duration::Span = duration::Span::from_millis(100);
 
 /// One waiting request.
 #[derive(Debug, Clone, PartialEq)]
@@ -53,21 +53,23 @@
     /// The queue is full and its workspace has its part of it.
     Full,
     /// It would not be served before its deadline.
-    Hopeless,
+    #[serde(rename = "hopeless")]
+    DeadlineUnreachable,
     /// Its deadline passed.
-    Late,
+    #[serde(rename = "late")]
+    DeadlinePassed,
 }
 
 /// Requests that wait for one group of endpoints.
 #[derive(Debug)]
 pub struct Queue {
-    length: usize,
+    capacity: usize,
     waiting: BTreeMap<id::Workspace, VecDeque<Request>>,
     counters: BTreeMap<id::Workspace, u64>,
-    count: usize,
+    waiting_count: usize,
     /// Lowest counter that a workspace may come back with.
-    floor: u64,
-    pace: Pace,
+    min_counter: u64,
+    throughput: Throughput,
 }
 
 /// State of a queue for a dump.
@@ -82,31 +84,31 @@
 impl Queue {
     /// An empty queue for at most `length` requests.
     #[must_use]
-    pub fn new(length: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            length: length.max(1),
+            capacity: capacity.max(1),
             waiting: BTreeMap::new(),
             counters: BTreeMap::new(),
-            count: 0,
-            floor: 0,
-            pace: Pace::default(),
+            waiting_count: 0,
+            min_counter: 0,
+            throughput: Throughput::default(),
         }
     }
 
     /// Changes the bound of the queue.
-    pub fn set_capacity(&mut self, length: usize) {
-        self.length = length.max(1);
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity.max(1);
     }
 
     /// Takes a request; gives back who is refused for it, which may be itself.
     pub fn push(&mut self, now: duration::Instant, request: Request) -> Option<Refusal> {
         let wait = self.expected_wait(&request);
         if now.after(wait) > request.deadline {
-            return Some(refusal(&request, Reason::Hopeless, wait));
+            return Some(refusal(&request, Reason::DeadlineUnreachable, wait));
         }
-        self.lift(&request.workspace);
-        let refused = if self.count >= self.length {
-            let refused = self.make_room(&request, wait);
+        self.raise_counter(&request.workspace);
+        let refused = if self.waiting_count >= self.capacity {
+            let refused = self.evict_newest(&request, wait);
             if refused.ticket == request.ticket {
                 return Some(refused);
             }
@@ -114,7 +116,7 @@
         } else {
             None
         };
-        self.count += 1;
+        self.waiting_count += 1;
         self.waiting
             .entry(request.workspace.clone())
             .or_default()
@@ -130,11 +132,11 @@
         if line.is_empty() {
             self.waiting.remove(&next);
         }
-        self.count -= 1;
+        self.waiting_count -= 1;
         let counter = self.counters.entry(next).or_default();
-        self.floor = self.floor.max(*counter);
+        self.min_counter = self.min_counter.max(*counter);
         *counter = counter.saturating_add(charge(request.cost, request.weight));
-        self.pace.served(now, request.cost);
+        self.throughput.record(now, request.cost);
         Some(request)
     }
 
@@ -144,52 +146,52 @@
             return;
         };
         let charged = charge(request.cost, request.weight);
-        let right = charge(used, request.weight);
-        *counter = counter.saturating_sub(charged).saturating_add(right);
+        let actual = charge(used, request.weight);
+        *counter = counter.saturating_sub(charged).saturating_add(actual);
     }
 
     /// Takes out all requests whose deadline has passed.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<Refusal> {
         let mut refused = Vec::new();
-        let pace = &self.pace;
+        let pace = &self.throughput;
         for line in self.waiting.values_mut() {
             let queued = line.iter().map(|request| request.cost.0).sum();
             let wait = pace.time_for(token::Count(queued));
             line.retain(|request| {
                 let late = now >= request.deadline;
                 if late {
-                    refused.push(refusal(request, Reason::Late, wait));
+                    refused.push(refusal(request, Reason::DeadlinePassed, wait));
                 }
                 !late
             });
         }
         self.waiting.retain(|_, line| !line.is_empty());
-        self.count -= refused.len();
+        self.waiting_count -= refused.len();
         refused
     }
 
     /// Takes out a request whose caller has left; false if it is not there.
     pub fn remove(&mut self, ticket: u64) -> bool {
-        let before = self.count;
+        let before = self.waiting_count;
         for line in self.waiting.values_mut() {
             let length = line.len();
             line.retain(|request| request.ticket != ticket);
-            self.count -= length - line.len();
+            self.waiting_count -= length - line.len();
         }
         self.waiting.retain(|_, line| !line.is_empty());
-        self.count < before
+        self.waiting_count < before
     }
 
     /// Number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
-        self.count
+        self.waiting_count
     }
 
     /// Whether nobody waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
-        self.count == 0
+        self.waiting_count == 0
     }
 
     /// When the next deadline passes.
@@ -221,22 +223,27 @@
     ///
     /// Without it, a workspace that rested for an hour would be served alone until
     /// it had caught up, and everybody else would wait.
-    fn lift(&mut self, workspace: &id::Workspace) {
+    fn raise_counter(&mut self, workspace: &id::Workspace) {
         if self.waiting.contains_key(workspace) {
             return;
         }
         let counters = &self.counters;
         let of = |name: &id::Workspace| counters.get(name).copied().unwrap_or(0);
-        let lowest = self.waiting.keys().map(of).min().unwrap_or(self.floor);
+        let lowest = self
+            .waiting
+            .keys()
+            .map(of)
+            .min()
+            .unwrap_or(self.min_counter);
         let counter = self.counters.entry(workspace.clone()).or_default();
         *counter = (*counter).max(lowest);
-        self.forget();
+        self.drop_idle_counters();
     }
 
     /// Forgets counters that lifting would raise anyway, so that workspaces that
     /// are gone leave nothing behind.
-    fn forget(&mut self) {
-        let (waiting, floor) = (&self.waiting, self.floor);
+    fn drop_idle_counters(&mut self) {
+        let (waiting, floor) = (&self.waiting, self.min_counter);
         if waiting.is_empty() {
             self.counters.retain(|_, counter| *counter >= floor);
         }
@@ -246,7 +253,7 @@
     ///
     /// If the newcomer were always refused, one workspace could fill the queue and
     /// keep the others out of it, whatever the counters say.
-    fn make_room(&mut self, request: &Request, wait: duration::Span) -> Refusal {
+    fn evict_newest(&mut self, request: &Request, wait: duration::Span) -> Refusal {
         let own = self
             .waiting
             .get(&request.workspace)
@@ -262,7 +269,7 @@
         let newest = self.waiting.get_mut(&name).and_then(VecDeque::pop_back);
         match newest {
             Some(newest) => {
-                self.count -= 1;
+                self.waiting_count -= 1;
                 let wait = self.expected_wait(&newest);
                 refusal(&newest, Reason::Full, wait)
             }
@@ -283,9 +290,9 @@
             }
             let queued: u64 = line.iter().map(|r| r.cost.0).sum();
             let weight = line.front().map_or(1.0, |r| r.weight);
-            ahead += queued.min(whole(reach * weight));
+            ahead += queued.min(round_to_u64(reach * weight));
         }
-        self.pace.time_for(token::Count(ahead))
+        self.throughput.time_for(token::Count(ahead))
     }
 }
 
@@ -293,15 +300,15 @@
     Refusal {
         ticket: request.ticket,
         reason,
-        retry_after: wait.max(LEAST_RETRY),
+        retry_after: wait.max(MIN_RETRY_AFTER),
     }
 }
 
 fn charge(cost: token::Count, weight: f64) -> u64 {
-    whole(cost.0 as f64 * SCALE / weight.max(0.01))
+    round_to_u64(cost.0 as f64 * COUNTER_UNITS_PER_TOKEN / weight.max(0.01))
 }
 
-fn whole(value: f64) -> u64 {
+fn round_to_u64(value: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/cranberrygap-policy/src/fairness/pace.rs
+++ b/crates/cranberrygap-policy/src/fairness/throughput.rs
@@ -3,29 +3,29 @@
 use cranberrygap_model::{duration, token};
 
 /// Time over which the pace is averaged.
-const AVERAGE: duration::Span = duration::Span::from_secs(2);
+const TIME_CONSTANT: duration::Span = duration::Span::from_secs(2);
 
 /// Tokens sent a second, averaged; unknown until something was sent.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Pace {
+pub(super) struct Throughput {
     rate: f64,
     last: Option<duration::Instant>,
     /// Sent at the instant of `last`; not in the rate yet.
-    fresh: f64,
+    pending_tokens: f64,
 }
 
-impl Pace {
-    pub(super) fn served(&mut self, now: duration::Instant, cost: token::Count) {
+impl Throughput {
+    pub(super) fn record(&mut self, now: duration::Instant, cost: token::Count) {
         let last = *self.last.get_or_insert(now);
         let span = now.since(last).as_secs_f64();
         if span > 0.0 {
-            let part = 1.0 - (-span / AVERAGE.as_secs_f64()).exp();
-            let observed = self.fresh / span;
+            let part = 1.0 - (-span / TIME_CONSTANT.as_secs_f64()).exp();
+            let observed = self.pending_tokens / span;
             self.rate += (observed - self.rate) * part;
-            self.fresh = 0.0;
+            self.pending_tokens = 0.0;
             self.last = Some(now);
         }
-        self.fresh += cost.0 as f64;
+        self.pending_tokens += cost.0 as f64;
     }
 
     /// Time in which so many tokens are sent; zero while the pace is not known,
--- a/crates/cranberrygap-policy/src/leader_calls.rs
+++ b/crates/cranberrygap-policy/src/leader_calls.rs
@@ -3,10 +3,10 @@
 use cranberrygap_model::duration;
 
 /// Time of the leader that each entry's call of one kind may take up.
-const EACH: duration::Span = duration::Span(1_250);
+const LEADER_TIME_PER_ENTRY: duration::Span = duration::Span(1_250);
 
 /// Least time between two calls of one kind from one of so many entries.
 #[must_use]
 pub const fn min_interval(entries: usize) -> duration::Span {
-    duration::Span(EACH.0 * entries as u64)
+    duration::Span(LEADER_TIME_PER_ENTRY.0 * entries as u64)
 }
--- a/crates/cranberrygap-policy/src/limits.rs
+++ b/crates/cranberrygap-policy/src/limits.rs
@@ -15,15 +15,15 @@
 pub mod lending;
 
 mod bucket;
-mod floor;
-mod line;
+mod guarantee;
 mod loan_issuer;
-mod loans;
+mod loan_requests;
+mod local_bucket;
 mod owner;
+mod received_loans;
+mod refund_limit;
 mod renewals;
-mod room;
-mod stock;
-mod stream;
+mod wait_queue;
 
 use cranberrygap_model::{duration, token};
 
--- a/crates/cranberrygap-policy/src/limits/assignment.rs
+++ b/crates/cranberrygap-policy/src/limits/assignment.rs
@@ -18,27 +18,28 @@
     workspaces: impl IntoIterator<Item = &'all id::Workspace>,
     chosen: &BTreeMap<id::Workspace, id::Instance>,
     candidates: &Candidates,
-    is_lost: impl Fn(&id::Workspace) -> bool,
+    is_lender_lost: impl Fn(&id::Workspace) -> bool,
 ) -> Vec<view::Lender> {
-    let mut loads: BTreeMap<&id::Instance, usize> = BTreeMap::new();
+    let mut workspace_counts: BTreeMap<&id::Instance, usize> = BTreeMap::new();
     for lender in chosen.values() {
-        *loads.entry(lender).or_default() += 1;
+        *workspace_counts.entry(lender).or_default() += 1;
     }
     let workspaces: BTreeSet<&id::Workspace> = workspaces.into_iter().collect();
     let mut changes = Vec::new();
     for workspace in workspaces.iter().copied() {
         let current = chosen.get(workspace);
-        let lost = is_lost(workspace);
-        let stays = current.is_some_and(|lender| candidates.contains_key(lender) && !lost);
-        if stays {
+        let has_lost_lender = is_lender_lost(workspace);
+        let keeps_lender =
+            current.is_some_and(|lender| candidates.contains_key(lender) && !has_lost_lender);
+        if keeps_lender {
             continue;
         }
-        let fit = candidates
+        let eligible = candidates
             .iter()
             .filter(|(instance, active)| **active && Some(*instance) != current);
-        let next = fit.min_by_key(|(instance, _)| {
-            let load = loads.get(instance).copied().unwrap_or_default();
-            (load, rank(workspace, instance))
+        let next = eligible.min_by_key(|(instance, _)| {
+            let count = workspace_counts.get(instance).copied().unwrap_or_default();
+            (count, tie_break(workspace, instance))
         });
         let next = next.map(|(instance, _)| instance);
         if next.is_none() && current.is_some_and(|lender| candidates.contains_key(lender)) {
@@ -46,7 +47,7 @@
             continue;
         }
         if let Some(next) = next {
-            *loads.entry(next).or_default() += 1;
+            *workspace_counts.entry(next).or_default() += 1;
         }
         if next != current {
             changes.push(view::Lender {
@@ -55,8 +56,8 @@
             });
         }
     }
-    let gone = chosen.keys().filter(|known| !workspaces.contains(known));
-    changes.extend(gone.map(|workspace| view::Lender {
+    let removed = chosen.keys().filter(|known| !workspaces.contains(known));
+    changes.extend(removed.map(|workspace| view::Lender {
         workspace: workspace.clone(),
         instance: None,
     }));
@@ -64,7 +65,7 @@
 }
 
 /// Spreads workspaces over entries alike.
-fn rank(workspace: &id::Workspace, instance: &id::Instance) -> u64 {
+fn tie_break(workspace: &id::Workspace, instance: &id::Instance) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.hash(&mut hasher);
     instance.hash(&mut hasher);
--- a/crates/cranberrygap-policy/src/limits/bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket.rs
@@ -1,59 +1,59 @@
 //! One workspace's bucket at the leader: the pool and the shares taken out of it.
 
 mod delegation;
-mod holdings;
+mod share_table;
 
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_wire::share;
 
-use super::amount::{self, Amount, Flow};
-use super::floor::Floor;
+use super::amount::{self, Amount, FixedRate};
+use super::guarantee::Guarantee;
 use super::loan_issuer::{self, LoanIssuer, Supply};
 use super::owner::Owner;
 use super::{LEASE_DURATION, Limit};
 use delegation::Delegation;
-use holdings::Holdings;
+use share_table::ShareTable;
 
 /// Part of the rate that no share ever gets: clocks of two instances differ by
 /// up to some hundred millionths, and a holder whose clock is fast would accrue
 /// more than its rate. One in this many is kept back against that.
-const DRIFT: u64 = 2_000;
+const CLOCK_DRIFT_DIVISOR: u64 = 2_000;
 
 /// Part of the lease that the leader waits longer than the holder, for the same reason.
-const LEASE_MARGIN: u64 = 64;
+const LEASE_MARGIN_DIVISOR: u64 = 64;
 
 /// Part of the rate, in tenths, that shares get at most. The rest accrues in
 /// the pool, from where an entry with new demand gets tokens at once.
-const SHARED_TENTHS: u64 = 9;
+const MAX_SHARED_TENTHS: u64 = 9;
 
 /// Part of its entry's demand that a share gets as a rate of its own. What
 /// accrues in a full share is lost; what accrues in the pool goes to whoever is
 /// short. The own part carries the entry through a time without a leader.
-const OWN_PART: f64 = 0.5;
+const SHARE_DEMAND_FRACTION: f64 = 0.5;
 
 /// Time of its demand that a share may hold. Space in it is what refunds need:
 /// in shorter ones more of them were lost, in longer ones more tokens were out
 /// of the other entries' reach (`measure limits`).
-const STOCK: duration::Span = duration::Span::from_millis(2_000);
+const STOCK_DURATION: duration::Span = duration::Span::from_millis(2_000);
 
 /// How many times as much an entry must be able to hold before it gets a share of its own
 /// where another entry lends. Requests of several sizes would have it come and go.
-const FIRST_SHARE: f64 = 2.0;
+const FIRST_SHARE_FACTOR: f64 = 2.0;
 
 /// Part of the burst that shares hold for their demand, all together. The rest stays
 /// in the pool for whoever is short.
-const STOCKED: f64 = 0.4;
+const MAX_STOCKED_FRACTION: f64 = 0.4;
 
 /// Usual requests that a share must be able to hold; one that holds less is none.
 ///
 /// What accrues in a share too small for a request is lost to everybody: of a rate of
 /// 4,200 tokens a second, spread over 9 entries, a fifth of requests at 0.55 of the rate
 /// were refused (`limits_unequal`). Such a workspace's tokens stay in the pool and are lent.
-const LEAST_STOCK: f64 = 2.0;
+const MIN_STOCK_REQUESTS: f64 = 2.0;
 
 /// A share is left as it is while its target is within this part of it, because
 /// each change is an entry in the replicated log.
-const TOLERANCE: f64 = 0.25;
+const RATE_TOLERANCE: f64 = 0.25;
 
 /// The same for the cap. A share that shrinks cuts the refunds of what runs, so
 /// caps change only when demand has really moved.
@@ -61,32 +61,32 @@
 
 /// Rate and cap under a share number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct Part {
+pub(super) struct ShareTerms {
     pub(super) number: u64,
-    pub(super) rate: Flow,
+    pub(super) rate: FixedRate,
     pub(super) cap: Amount,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Share {
     /// What the holder said that it has.
-    held: Part,
+    held: ShareTerms,
     /// What it has as well if the last answer arrived.
-    offered: Part,
+    offered: ShareTerms,
     /// What the log says that it may have.
-    logged: (Flow, Amount),
+    logged: (FixedRate, Amount),
     /// Taken over from the log; the holder has not reported yet.
     inherited: bool,
-    until: duration::Instant,
+    lease_end: duration::Instant,
     demand: f64,
     /// Cost of a usual request of late.
-    usual: f64,
+    typical_cost: f64,
     /// Rate and cap that its entry's demand asks for.
-    wanted: (Flow, Amount),
+    desired: (FixedRate, Amount),
 }
 
 impl Share {
-    fn rate(&self) -> Flow {
+    fn rate(&self) -> FixedRate {
         self.held.rate.max(self.offered.rate)
     }
 
@@ -97,26 +97,26 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct Bucket {
-    rate: Flow,
+    rate: FixedRate,
     burst: Amount,
     pool: Amount,
-    accrued: duration::Instant,
-    shares: Holdings,
-    lender: LoanIssuer,
-    floor: Floor,
+    accrued_at: duration::Instant,
+    shares: ShareTable,
+    loans: LoanIssuer,
+    guarantee: Guarantee,
     delegation: Delegation,
 }
 
 impl Bucket {
     pub(super) fn new(now: duration::Instant, limit: Limit) -> Self {
         let mut bucket = Self {
-            rate: Flow::ZERO,
+            rate: FixedRate::ZERO,
             burst: Amount::ZERO,
             pool: Amount::ZERO,
-            accrued: now,
-            shares: Holdings::default(),
-            lender: LoanIssuer::default(),
-            floor: Floor::default(),
+            accrued_at: now,
+            shares: ShareTable::default(),
+            loans: LoanIssuer::default(),
+            guarantee: Guarantee::default(),
             delegation: Delegation::default(),
         };
         bucket.configure(now, limit);
@@ -127,58 +127,58 @@
     /// renewals, so a smaller limit holds after one lease at the latest.
     pub(super) fn configure(&mut self, now: duration::Instant, limit: Limit) {
         self.accrue(now);
-        let rate = Flow::from_rate(limit.rate);
-        self.rate = rate.minus(Flow(rate.0.div_ceil(DRIFT)));
+        let rate = FixedRate::from_rate(limit.rate);
+        self.rate = rate.minus(FixedRate(rate.0.div_ceil(CLOCK_DRIFT_DIVISOR)));
         self.burst = Amount::from_count(limit.burst);
-        self.cut();
+        self.cap_pool();
     }
 
     /// Takes over who lends in place of the leader.
-    pub(super) fn set_delegate(&mut self, delegate: Option<&id::Instance>) {
-        self.delegation.follow(delegate);
+    pub(super) fn set_lender(&mut self, lender: Option<&id::Instance>) {
+        self.delegation.set_lender(lender);
     }
 
     /// A process has ended, so that it renews no more; what it lent ends with its loans.
-    pub(super) fn ended(&mut self, now: duration::Instant, owner: &Owner) {
-        let end = loan_issuer::cleared(now);
+    pub(super) fn record_process_end(&mut self, now: duration::Instant, owner: &Owner) {
+        let end = loan_issuer::loans_end(now);
         if self.shares.get(owner).is_some() {
             self.shares
-                .update(owner, |share| share.until = share.until.min(end));
+                .update(owner, |share| share.lease_end = share.lease_end.min(end));
         }
     }
 
     /// Fills the pool. Only right for a workspace that never had a share.
     pub(super) fn fill(&mut self) {
         self.pool = self.burst;
-        self.cut();
+        self.cap_pool();
     }
 
     /// Takes over what an earlier leader promised to keep in the pool.
-    pub(super) fn keep(&mut self, logged: &share::Allocation) {
+    pub(super) fn restore_guarantee(&mut self, logged: &share::Allocation) {
         let kept = Amount::from_count(logged.cap);
-        let made_for = (logged.rate, logged.share);
-        self.floor.logged = kept;
-        if made_for != (self.rate.to_rate(), self.burst.whole().0) {
+        let guaranteed_limit = (logged.rate, logged.share);
+        self.guarantee.logged_amount = kept;
+        if guaranteed_limit != (self.rate.to_rate(), self.burst.floor().0) {
             return;
         }
-        self.floor.kept = kept;
+        self.guarantee.amount = kept;
         self.pool = self.pool.plus(kept);
-        self.cut();
+        self.cap_pool();
     }
 
     /// Starts empty, and accrues once all that an earlier leader lent has ended.
     ///
     /// Loans are not in the log. One that is spent after the election would come on top
     /// of what the new pool has gathered, and a caller would get more than the burst.
-    pub(super) fn succeed(&mut self, now: duration::Instant) {
-        self.accrued = loan_issuer::cleared(now);
+    pub(super) fn start_after_predecessor(&mut self, now: duration::Instant) {
+        self.accrued_at = loan_issuer::loans_end(now);
     }
 
     /// Takes over a share from the log as if it had been renewed just now.
-    pub(super) fn inherit(&mut self, now: duration::Instant, logged: &share::Allocation) {
-        let part = Part {
+    pub(super) fn inherit_share(&mut self, now: duration::Instant, logged: &share::Allocation) {
+        let part = ShareTerms {
             number: logged.share,
-            rate: Flow::from_rate(logged.rate),
+            rate: FixedRate::from_rate(logged.rate),
             cap: Amount::from_count(logged.cap),
         };
         let share = Share {
@@ -186,12 +186,12 @@
             offered: part,
             logged: (part.rate, part.cap),
             inherited: true,
-            until: expiry(now),
+            lease_end: lease_end(now),
             ..Share::default()
         };
-        let owner = Owner::logged(logged);
+        let owner = Owner::from_allocation(logged);
         self.shares.update(&owner, |known| *known = share);
-        self.cut();
+        self.cap_pool();
     }
 
     /// Answers one demand; `next` numbers a share that changes.
@@ -203,31 +203,31 @@
         next: &mut u64,
     ) -> share::Grant {
         self.accrue(now);
-        self.confirm(owner, demand);
-        self.note(owner, demand);
-        let target = self.target(now, owner);
+        self.confirm_share(owner, demand);
+        self.record_demand(owner, demand);
+        let target = self.target_terms(now, owner);
         let (held, offered) = self.shares.update(owner, |share| {
             let held = share.held;
             if (target.rate, target.cap) == (held.rate, held.cap) {
                 share.offered = held;
             } else {
-                share.offered = Part {
+                share.offered = ShareTerms {
                     number: *next,
                     ..target
                 };
                 *next += 1;
             }
-            share.until = expiry(now);
+            share.lease_end = lease_end(now);
             (held, share.offered)
         });
-        let (wait, longest, lent) = self.serve(now, owner, demand);
+        let (wait, longest, lent) = self.lend(now, owner, demand);
         let tokens = self.move_tokens(owner, demand, held, offered);
-        self.floor.settle(now, self.pool);
+        self.guarantee.update(now, self.pool);
         share::Grant {
             workspace: demand.workspace.clone(),
             share: offered.number,
             rate: offered.rate.to_rate(),
-            cap: offered.cap.whole(),
+            cap: offered.cap.floor(),
             tokens,
             lent,
             wait,
@@ -236,7 +236,7 @@
     }
 
     /// Lends what an entry waits for, if it is its turn, or says when it may be.
-    fn serve(
+    fn lend(
         &mut self,
         now: duration::Instant,
         owner: &Owner,
@@ -248,51 +248,52 @@
         let supply = Supply {
             pool: self.pool,
             rate: self.rate.minus(self.shared_rate()),
-            from: self.accrued,
+            accrues_from: self.accrued_at,
             burst: self.burst,
             // Where another entry lends, only who does not reach it borrows here.
-            ahead: !self.delegation.is_made(),
+            lends_in_advance: !self.delegation.has_lender(),
         };
-        let offer = self.lender.serve(now, owner, demand, &supply);
+        let offer = self.loans.serve(now, owner, demand, &supply);
         self.pool = self.pool.minus(offer.lent);
-        self.cut();
-        if self.delegation.is_made() && demand.first.0 > 0 {
+        self.cap_pool();
+        if self.delegation.has_lender() && demand.first.0 > 0 {
             let waiting = Amount::from_count(demand.wanted);
-            let asked = self.direct_demand();
+            let direct_demand = self.direct_demand();
             self.delegation
-                .keep(now, asked, waiting, (self.rate, self.burst));
-            if supply.rate == Flow::ZERO {
+                .reserve_direct(now, direct_demand, waiting, (self.rate, self.burst));
+            if supply.rate == FixedRate::ZERO {
                 // The tokens are with the entry that lends; what it hands back comes any time.
-                return (duration::Span(0), duration::Span(0), offer.lent.whole());
+                return (duration::Span(0), duration::Span(0), offer.lent.floor());
             }
         }
-        (offer.wait, offer.longest, offer.lent.whole())
+        (offer.first_wait, offer.total_wait, offer.lent.floor())
     }
 
     /// Demand of the entries that wait for the leader's tokens.
     fn direct_demand(&self) -> f64 {
-        let askers = self.lender.askers();
+        let askers = self.loans.waiting_owners();
         let known = askers.filter_map(|owner| self.shares.get(owner));
         known.map(|share| share.demand).sum()
     }
 
     /// Whether entries with most of the demand do not reach the one that lends.
-    pub(super) fn is_delegate_avoided(&self) -> bool {
+    pub(super) fn is_lender_unreachable(&self) -> bool {
         let all = self.shares.demand();
-        self.delegation.is_avoided(self.direct_demand(), all)
+        self.delegation
+            .is_lender_unreachable(self.direct_demand(), all)
     }
 
     /// Drops shares whose lease has run out for certain; their tokens are spent.
     pub(super) fn expire(&mut self, now: duration::Instant) {
-        self.lender.expire(now);
+        self.loans.expire(now);
         self.accrue(now);
-        for owner in self.shares.expired(now) {
+        for owner in self.shares.expired_owners(now) {
             self.shares.update(&owner, |share| {
-                share.held = Part::default();
-                share.offered = Part::default();
+                share.held = ShareTerms::default();
+                share.offered = ShareTerms::default();
                 share.inherited = false;
                 share.demand = 0.0;
-                share.wanted = Default::default();
+                share.desired = Default::default();
             });
         }
     }
@@ -301,27 +302,27 @@
     ///
     /// Shrunk shares come first, so that no prefix of the log adds up to more
     /// than the limit.
-    pub(super) fn unlogged(&mut self, workspace: &id::Workspace) -> Vec<share::Allocation> {
+    pub(super) fn take_unlogged(&mut self, workspace: &id::Workspace) -> Vec<share::Allocation> {
         let mut smaller = Vec::new();
         let mut larger = Vec::new();
-        if self.floor.kept != self.floor.logged {
-            let grows = self.floor.kept > self.floor.logged;
+        if self.guarantee.amount != self.guarantee.logged_amount {
+            let grows = self.guarantee.amount > self.guarantee.logged_amount;
             let list = if grows { &mut larger } else { &mut smaller };
-            list.push(loan_issuer::promise(
+            list.push(loan_issuer::guarantee_entry(
                 workspace,
-                self.floor.kept,
+                self.guarantee.amount,
                 self.rate,
                 self.burst,
             ));
-            self.floor.logged = self.floor.kept;
+            self.guarantee.logged_amount = self.guarantee.amount;
         }
         for owner in self.shares.take_changed() {
             let Some(share) = self.shares.get(&owner) else {
                 continue;
             };
-            let most = (share.rate(), share.cap());
-            if most != share.logged {
-                let grows = most.0 > share.logged.0 || most.1 > share.logged.1;
+            let allowed = (share.rate(), share.cap());
+            if allowed != share.logged {
+                let grows = allowed.0 > share.logged.0 || allowed.1 > share.logged.1;
                 let list = if grows { &mut larger } else { &mut smaller };
                 list.push(share::Allocation {
                     workspace: workspace.clone(),
@@ -329,18 +330,18 @@
                     boot: owner.boot,
                     lends: owner.lends,
                     share: share.held.number.max(share.offered.number),
-                    rate: most.0.to_rate(),
-                    cap: most.1.covering(),
+                    rate: allowed.0.to_rate(),
+                    cap: allowed.1.ceil(),
                 });
             }
-            self.shares.log(&owner, most);
+            self.shares.record_logged(&owner, allowed);
         }
         smaller.append(&mut larger);
         smaller
     }
 
     /// Sum of the rates and caps that holders may have, and the pool.
-    pub(super) fn totals(&self) -> (Flow, Amount, Amount) {
+    pub(super) fn totals(&self) -> (FixedRate, Amount, Amount) {
         (self.shared_rate(), self.shared_cap(), self.pool)
     }
 
@@ -357,18 +358,18 @@
         let gained = self
             .rate
             .minus(self.shared_rate())
-            .over(now.since(self.accrued));
-        self.accrued = self.accrued.max(now);
+            .accrued_in(now.since(self.accrued_at));
+        self.accrued_at = self.accrued_at.max(now);
         self.pool = self.pool.plus(gained);
-        self.cut();
+        self.cap_pool();
     }
 
-    fn cut(&mut self) {
-        let out = self.shared_cap().plus(self.lender.lent());
-        self.pool = self.pool.min(self.burst.minus(out));
+    fn cap_pool(&mut self) {
+        let leased = self.shared_cap().plus(self.loans.outstanding());
+        self.pool = self.pool.min(self.burst.minus(leased));
     }
 
-    const fn shared_rate(&self) -> Flow {
+    const fn shared_rate(&self) -> FixedRate {
         self.shares.rate()
     }
 
@@ -380,16 +381,16 @@
     ///
     /// A holder ignores answers to all but its last renewal, so it has just this
     /// share until the answer to this renewal arrives.
-    fn confirm(&mut self, owner: &Owner, demand: &share::Demand) {
+    fn confirm_share(&mut self, owner: &Owner, demand: &share::Demand) {
         let lends = owner.lends;
-        let out = Amount::from_count(demand.lent);
-        let (lives, known) = self.shares.update(owner, |share| {
+        let lent_tokens = Amount::from_count(demand.lent);
+        let (was_open, is_known) = self.shares.update(owner, |share| {
             let before = share.cap();
             let numbers = [share.held.number, share.offered.number];
-            let lives = share.rate() > Flow::ZERO || share.cap() > Amount::ZERO;
-            let known = share.inherited || demand.share == 0 || numbers.contains(&demand.share);
-            if demand.share == 0 || !known {
-                share.held = Part::default();
+            let was_open = share.rate() > FixedRate::ZERO || share.cap() > Amount::ZERO;
+            let is_known = share.inherited || demand.share == 0 || numbers.contains(&demand.share);
+            if demand.share == 0 || !is_known {
+                share.held = ShareTerms::default();
             } else if share.inherited {
                 share.held.number = demand.share;
             } else if demand.share == share.offered.number {
@@ -397,86 +398,87 @@
             }
             if lends {
                 // What it has lent may be spent until it ends, also when its share is smaller.
-                share.held.cap = share.held.cap.max(out.min(before));
+                share.held.cap = share.held.cap.max(lent_tokens.min(before));
             }
             share.inherited = false;
             share.offered = share.held;
-            (lives, known)
+            (was_open, is_known)
         });
-        self.cut();
+        self.cap_pool();
         // Tokens of a share that was given up here count as spent already.
-        if lives && known {
+        if was_open && is_known {
             self.pool = self.pool.plus(Amount::from_count(demand.returned));
         }
         if !lends {
             let unlent = Amount::from_count(demand.unlent);
-            let back = self.lender.confirm(owner, out, unlent);
+            let back = self.loans.confirm_loans(owner, lent_tokens, unlent);
             self.pool = self.pool.plus(back);
-            self.cut();
+            self.cap_pool();
         }
     }
 
-    fn note(&mut self, owner: &Owner, demand: &share::Demand) {
+    fn record_demand(&mut self, owner: &Owner, demand: &share::Demand) {
         self.shares.update(owner, |share| {
             share.demand = demand.rate.0;
-            share.usual = demand.usual.0 as f64;
+            share.typical_cost = demand.usual.0 as f64;
         });
     }
 
     /// Rate and cap that the share is to have from now on.
-    fn target(&mut self, now: duration::Instant, owner: &Owner) -> Part {
+    fn target_terms(&mut self, now: duration::Instant, owner: &Owner) -> ShareTerms {
         let Some(share) = self.shares.get(owner) else {
-            return Part::default();
+            return ShareTerms::default();
         };
         let held = share.held;
         let rate = self.rate.minus(self.shared_rate().minus(share.rate()));
         let cap = self.burst.minus(self.shared_cap().minus(share.cap()));
         // Loans of the leader may be spent beside all shares.
-        let loans = if now < self.accrued {
+        let loans = if now < self.accrued_at {
             self.burst
         } else {
-            self.lender.lent()
+            self.loans.outstanding()
         };
-        let grown = cap.minus(loans).max(held.cap.min(cap));
+        let max_cap = cap.minus(loans).max(held.cap.min(cap));
         let wanted = if owner.lends {
-            let all = (self.rate, self.burst);
-            let left = (held.rate, held.cap);
-            let wanted = self.shares.wanted();
-            self.delegation.part(now, owner, all, wanted, left)
+            let limits = (self.rate, self.burst);
+            let held_terms = (held.rate, held.cap);
+            let wanted = self.shares.desired();
+            self.delegation
+                .target_terms(now, owner, limits, wanted, held_terms)
         } else {
-            let wanted = self.wanted(share);
-            self.shares.update(owner, |share| share.wanted = wanted);
+            let wanted = self.desired_terms(share);
+            self.shares.update(owner, |share| share.desired = wanted);
             wanted
         };
-        Part {
+        ShareTerms {
             number: held.number,
             rate: wanted.0.min(rate),
-            cap: Amount::from_count(wanted.1.min(grown).whole()),
+            cap: Amount::from_count(wanted.1.min(max_cap).floor()),
         }
     }
 
     /// Rate and cap that an entry's demand asks for.
-    fn wanted(&self, share: &Share) -> (Flow, Amount) {
-        let asked = self.shares.demand() * OWN_PART;
-        let sharable = self.rate.0 / 10 * SHARED_TENTHS;
-        let shrink = (Flow(sharable).to_rate().0 / asked.max(1.0)).min(1.0);
-        let stock = self.stock(share);
-        let (before, least) = if !self.delegation.is_made() {
-            ((share.held.rate, share.held.cap), LEAST_STOCK)
-        } else if share.wanted.1 > Amount::ZERO {
-            (share.wanted, LEAST_STOCK)
+    fn desired_terms(&self, share: &Share) -> (FixedRate, Amount) {
+        let share_demand = self.shares.demand() * SHARE_DEMAND_FRACTION;
+        let sharable = self.rate.0 / 10 * MAX_SHARED_TENTHS;
+        let scale = (FixedRate(sharable).to_rate().0 / share_demand.max(1.0)).min(1.0);
+        let stock = self.target_stock(share);
+        let (previous, min_requests) = if !self.delegation.has_lender() {
+            ((share.held.rate, share.held.cap), MIN_STOCK_REQUESTS)
+        } else if share.desired.1 > Amount::ZERO {
+            (share.desired, MIN_STOCK_REQUESTS)
         } else {
-            (share.wanted, LEAST_STOCK * FIRST_SHARE)
+            (share.desired, MIN_STOCK_REQUESTS * FIRST_SHARE_FACTOR)
         };
-        if stock < share.usual.max(1.0) * least {
-            return (Flow::ZERO, Amount::ZERO);
+        if stock < share.typical_cost.max(1.0) * min_requests {
+            return (FixedRate::ZERO, Amount::ZERO);
         }
-        let wanted = share.demand * OWN_PART * shrink;
-        let rate = settle(before.0.to_rate().0, wanted, TOLERANCE);
-        let cap = settle(before.1.as_f64(), stock, CAP_TOLERANCE);
+        let wanted = share.demand * SHARE_DEMAND_FRACTION * scale;
+        let rate = with_hysteresis(previous.0.to_rate().0, wanted, RATE_TOLERANCE);
+        let cap = with_hysteresis(previous.1.as_f64(), stock, CAP_TOLERANCE);
         (
-            Flow::from_rate(token::Rate(rate)),
-            Amount::from_count(amount::covering(cap)),
+            FixedRate::from_rate(token::Rate(rate)),
+            Amount::from_count(amount::ceil_count(cap)),
         )
     }
 
@@ -485,10 +487,10 @@
     /// What shares may hold is not there for the pool. With a burst of about a
     /// second's rate, shares for two seconds of demand left no room for the pool, and
     /// all that accrued there was lost: workspaces at half their rate were refused.
-    fn stock(&self, share: &Share) -> f64 {
+    fn target_stock(&self, share: &Share) -> f64 {
         let part = share.demand / self.shares.demand().max(1.0);
-        let fair = self.burst.as_f64() * STOCKED * part;
-        fair.min(share.demand * STOCK.as_secs_f64())
+        let fair_part = self.burst.as_f64() * MAX_STOCKED_FRACTION * part;
+        fair_part.min(share.demand * STOCK_DURATION.as_secs_f64())
     }
 
     /// Moves tokens from the pool into space that the holder keeps free.
@@ -496,29 +498,29 @@
         &mut self,
         owner: &Owner,
         demand: &share::Demand,
-        held: Part,
-        offered: Part,
+        held: ShareTerms,
+        offered: ShareTerms,
     ) -> token::Count {
         let growth = offered.cap.minus(held.cap);
-        let space = Amount::from_count(demand.room).plus(growth);
+        let free_space = Amount::from_count(demand.room).plus(growth);
         let shrinks = offered.cap < held.cap;
-        let most = if shrinks { Amount::ZERO } else { space };
+        let max_tokens = if shrinks { Amount::ZERO } else { free_space };
         // Those in line come first.
-        let free = self.pool.minus(self.lender.ahead(owner));
-        let tokens = free.min(most).whole();
+        let free = self.pool.minus(self.loans.tokens_ahead(owner));
+        let tokens = free.min(max_tokens).floor();
         self.pool = self.pool.minus(Amount::from_count(tokens));
-        self.cut();
+        self.cap_pool();
         tokens
     }
 }
 
-fn expiry(now: duration::Instant) -> duration::Instant {
+fn lease_end(now: duration::Instant) -> duration::Instant {
     now.after(LEASE_DURATION)
-        .after(duration::Span(LEASE_DURATION.0 / LEASE_MARGIN))
+        .after(duration::Span(LEASE_DURATION.0 / LEASE_MARGIN_DIVISOR))
 }
 
 /// The old value while the new one is close to it, else the new one.
-fn settle(old: f64, new: f64, tolerance: f64) -> f64 {
+fn with_hysteresis(old: f64, new: f64, tolerance: f64) -> f64 {
     if new < 1.0 {
         return 0.0;
     }
--- a/crates/cranberrygap-policy/src/limits/granter.rs
+++ b/crates/cranberrygap-policy/src/limits/granter.rs
@@ -16,14 +16,14 @@
 pub struct Granter {
     term: number::Term,
     buckets: BTreeMap<id::Workspace, Bucket>,
-    sequences: BTreeMap<Owner, Seen>,
-    next: u64,
+    last_renewals: BTreeMap<Owner, LastRenewal>,
+    next_share: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct LastRenewal {
     sequence: number::Sequence,
-    at: duration::Instant,
+    received_at: duration::Instant,
 }
 
 /// What came before a workspace's bucket.
@@ -50,7 +50,7 @@
 pub enum Error {
     /// A later renewal of the same process was answered before.
     #[error("renewal {0} came after a later one")]
-    Late(number::Sequence),
+    Superseded(number::Sequence),
 }
 
 /// State of one bucket for a dump.
@@ -83,28 +83,28 @@
         let mut granter = Self {
             term,
             buckets: BTreeMap::new(),
-            sequences: BTreeMap::new(),
-            next: 1,
+            last_renewals: BTreeMap::new(),
+            next_share: 1,
         };
         for (workspace, limit) in limits {
             granter.configure(now, workspace, *limit, Origin::Inherited);
         }
         for allocation in logged {
-            granter.next = granter.next.max(allocation.share + 1);
+            granter.next_share = granter.next_share.max(allocation.share + 1);
             let Some(bucket) = granter.buckets.get_mut(&allocation.workspace) else {
                 continue;
             };
-            if !loan_issuer::is_promise(allocation) {
-                bucket.inherit(now, allocation);
+            if !loan_issuer::is_guarantee(allocation) {
+                bucket.inherit_share(now, allocation);
             }
         }
         // What shares hold is known now, so that no promise counts beyond the burst.
         for allocation in logged
             .iter()
-            .filter(|logged| loan_issuer::is_promise(logged))
+            .filter(|logged| loan_issuer::is_guarantee(logged))
         {
             if let Some(bucket) = granter.buckets.get_mut(&allocation.workspace) {
-                bucket.keep(allocation);
+                bucket.restore_guarantee(allocation);
             }
         }
         granter
@@ -125,7 +125,7 @@
         let mut bucket = Bucket::new(now, limit);
         match origin {
             Origin::Added => bucket.fill(),
-            Origin::Inherited => bucket.succeed(now),
+            Origin::Inherited => bucket.start_after_predecessor(now),
         }
         self.buckets.insert(workspace.clone(), bucket);
     }
@@ -133,9 +133,9 @@
     /// Takes over which entry lends a workspace's tokens in place of this leader.
     ///
     /// It gets all of rate and burst that no share is to have, under a lease like theirs.
-    pub fn set_lender(&mut self, workspace: &id::Workspace, delegate: Option<&id::Instance>) {
+    pub fn set_lender(&mut self, workspace: &id::Workspace, lender: Option<&id::Instance>) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
-            bucket.set_delegate(delegate);
+            bucket.set_lender(lender);
         }
     }
 
@@ -153,7 +153,7 @@
                 lends,
             };
             for bucket in self.buckets.values_mut() {
-                bucket.ended(now, &owner);
+                bucket.record_process_end(now, &owner);
             }
         }
     }
@@ -170,7 +170,7 @@
     #[must_use]
     pub fn is_lender_unreachable(&self, workspace: &id::Workspace) -> bool {
         let bucket = self.buckets.get(workspace);
-        bucket.is_some_and(Bucket::is_delegate_avoided)
+        bucket.is_some_and(Bucket::is_lender_unreachable)
     }
 
     /// Processes that have a share.
@@ -188,8 +188,8 @@
     ///
     /// [`Error::Late`] for a renewal that was overtaken by a later one.
     pub fn renew(&mut self, now: duration::Instant, renew: &share::Renew) -> Result<Answer, Error> {
-        let owner = Owner::of(renew);
-        self.check(now, &owner, renew.sequence)?;
+        let owner = Owner::from_renewal(renew);
+        self.check_sequence(now, &owner, renew.sequence)?;
         let mut records = Vec::new();
         let mut grants = Vec::new();
         for demand in &renew.demands {
@@ -197,9 +197,9 @@
                 continue;
             };
             bucket.expire(now);
-            self.next = self.next.max(demand.share + 1);
-            grants.push(bucket.renew(now, &owner, demand, &mut self.next));
-            records.extend(bucket.unlogged(&demand.workspace));
+            self.next_share = self.next_share.max(demand.share + 1);
+            grants.push(bucket.renew(now, &owner, demand, &mut self.next_share));
+            records.extend(bucket.take_unlogged(&demand.workspace));
         }
         let granted = share::Granted {
             sequence: renew.sequence,
@@ -215,12 +215,13 @@
 
     /// Closes shares whose lease has run out for certain; gives what to commit.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<share::Allocation> {
-        let long_gone = |seen: &Seen| now.since(seen.at) > duration::Span(LEASE_DURATION.0 * 2);
-        self.sequences.retain(|_, seen| !long_gone(seen));
+        let is_outdated =
+            |seen: &LastRenewal| now.since(seen.received_at) > duration::Span(LEASE_DURATION.0 * 2);
+        self.last_renewals.retain(|_, seen| !is_outdated(seen));
         let mut records = Vec::new();
         for (workspace, bucket) in &mut self.buckets {
             bucket.expire(now);
-            records.extend(bucket.unlogged(workspace));
+            records.extend(bucket.take_unlogged(workspace));
         }
         records
     }
@@ -233,8 +234,8 @@
             Dump {
                 workspace: workspace.clone(),
                 rate: rate.to_rate(),
-                cap: cap.whole(),
-                pool: pool.whole(),
+                cap: cap.floor(),
+                pool: pool.floor(),
                 shares: bucket.shares(),
             }
         };
@@ -243,19 +244,22 @@
 
     /// A delayed renewal tells of a share that its sender no longer has in that
     /// form; taken as evidence it would free rate that is in use.
-    fn check(
+    fn check_sequence(
         &mut self,
         now: duration::Instant,
         owner: &Owner,
         sequence: number::Sequence,
     ) -> Result<(), Error> {
-        if let Some(seen) = self.sequences.get(owner)
+        if let Some(seen) = self.last_renewals.get(owner)
             && sequence <= seen.sequence
         {
-            return Err(Error::Late(sequence));
+            return Err(Error::Superseded(sequence));
         }
-        let seen = Seen { sequence, at: now };
-        self.sequences.insert(owner.clone(), seen);
+        let seen = LastRenewal {
+            sequence,
+            received_at: now,
+        };
+        self.last_renewals.insert(owner.clone(), seen);
         Ok(())
     }
 }
--- a/crates/cranberrygap-policy/src/limits/floor.rs
+++ b/crates/cranberrygap-policy/src/limits/guarantee.rs
@@ -11,32 +11,32 @@
 /// rate. So a leader that has plenty says in the log how much of it stays, and says so
 /// before it goes below.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Floor {
+pub(super) struct Guarantee {
     /// What the pool keeps.
-    pub(super) kept: Amount,
+    pub(super) amount: Amount,
     /// What the log says that it keeps.
-    pub(super) logged: Amount,
-    changed: duration::Instant,
+    pub(super) logged_amount: Amount,
+    changed_at: duration::Instant,
 }
 
 /// Part of the pool that a leader promises to keep.
-const PROMISED: u64 = 2;
+const GUARANTEED_DIVISOR: u64 = 2;
 
 /// Least time between two larger promises, each of which is an entry in the log.
-const PROMISE_GAP: duration::Span = duration::Span::from_millis(1_000);
+const MIN_INCREASE_INTERVAL: duration::Span = duration::Span::from_millis(1_000);
 
 /// How many times the old promise a larger one must be to be worth an entry.
-const PROMISE_GROWTH: f64 = 1.5;
+const MIN_INCREASE_FACTOR: f64 = 1.5;
 
-impl Floor {
+impl Guarantee {
     /// Follows the pool.
-    pub(super) fn settle(&mut self, now: duration::Instant, pool: Amount) {
-        let half = Amount::from_count(Amount(pool.0 / PROMISED).whole());
-        let rises = half.as_f64() > self.kept.as_f64() * PROMISE_GROWTH
-            && now.since(self.changed) >= PROMISE_GAP;
-        if pool < self.kept || rises {
-            self.kept = half;
-            self.changed = now;
+    pub(super) fn update(&mut self, now: duration::Instant, pool: Amount) {
+        let half = Amount::from_count(Amount(pool.0 / GUARANTEED_DIVISOR).floor());
+        let may_increase = half.as_f64() > self.amount.as_f64() * MIN_INCREASE_FACTOR
+            && now.since(self.changed_at) >= MIN_INCREASE_INTERVAL;
+        if pool < self.amount || may_increase {
+            self.amount = half;
+            self.changed_at = now;
         }
     }
 }
--- a/crates/cranberrygap-policy/src/limits/holder.rs
+++ b/crates/cranberrygap-policy/src/limits/holder.rs
@@ -9,15 +9,15 @@
 use serde::Serialize;
 
 use super::amount::Amount;
-pub use super::line::MaxWait;
+use super::loan_requests::{LoanRequests, LoanSource};
+use super::local_bucket::LocalBucket;
 use super::renewals::Renewals;
-use super::stock::Stock;
-use super::stream::{Source, Stream};
+pub use super::wait_queue::MaxWait;
 use super::{LEASE_DURATION, RENEWAL_INTERVAL};
 use crate::leader_calls;
 
 /// Least time between two renewals, so that a shortage does not flood the leader.
-const LEAST_GAP: duration::Span = duration::Span::from_millis(10);
+const MIN_RENEWAL_INTERVAL: duration::Span = duration::Span::from_millis(10);
 
 /// Time after which an unanswered renewal is given up. Well below the lease, so
 /// that several renewals fit into one.
@@ -25,22 +25,22 @@
 
 /// Time between two renewals that only tell the leader of demand, which other entries lend
 /// for; as many times the gap, so that the leader's work for them does not grow with the fleet.
-const REPORT: duration::Span = duration::Span::from_secs(2);
-const REPORT_GAPS: u64 = 16;
+const DEMAND_REPORT_INTERVAL: duration::Span = duration::Span::from_secs(2);
+const DEMAND_REPORT_FACTOR: u64 = 16;
 
 /// Shares of one entry.
 #[derive(Debug)]
 pub struct Holder {
     instance: id::Instance,
     boot: number::Boot,
-    stocks: BTreeMap<id::Workspace, Stock>,
+    buckets: BTreeMap<id::Workspace, LocalBucket>,
     renewals: Renewals,
-    numbers: u64,
+    last_ticket: u64,
     closed: bool,
     /// Least time between two renewals.
-    gap: duration::Span,
+    min_interval: duration::Span,
     /// Questions to the entries that lend.
-    lenders: BTreeMap<id::Instance, Stream>,
+    lenders: BTreeMap<id::Instance, LoanRequests>,
 }
 
 /// Why a renewal is sent.
@@ -60,7 +60,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     workspace: id::Workspace,
-    number: u64,
+    ticket: u64,
     cost: token::Count,
 }
 
@@ -106,18 +106,18 @@
         Self {
             instance,
             boot,
-            stocks: BTreeMap::new(),
+            buckets: BTreeMap::new(),
             renewals: Renewals::default(),
-            numbers: 0,
+            last_ticket: 0,
             closed: false,
-            gap: LEAST_GAP,
+            min_interval: MIN_RENEWAL_INTERVAL,
             lenders: BTreeMap::new(),
         }
     }
 
     /// Takes over how many entries renew at the same leader.
-    pub fn set_entry_count(&mut self, entries: usize) {
-        self.gap = leader_calls::min_interval(entries).max(LEAST_GAP);
+    pub fn set_entry_count(&mut self, count: usize) {
+        self.min_interval = leader_calls::min_interval(count).max(MIN_RENEWAL_INTERVAL);
     }
 
     /// Takes `cost` tokens of `workspace`, or lets the request wait for them
@@ -127,48 +127,50 @@
         now: duration::Instant,
         workspace: &id::Workspace,
         cost: token::Count,
-        patience: MaxWait,
+        max_wait: MaxWait,
     ) -> Admission {
         let stock = self
-            .stocks
+            .buckets
             .entry(workspace.clone())
-            .or_insert_with(|| Stock::new(now));
+            .or_insert_with(|| LocalBucket::new(now));
         stock.advance(now);
         let amount = Amount::from_count(cost);
-        stock.ask(amount);
-        self.numbers += 1;
-        if stock.line.may_pass(amount) && stock.take(amount, self.numbers) {
-            stock.line.pass(amount);
+        stock.record_request(amount);
+        self.last_ticket += 1;
+        if stock.queue.may_overtake_all(amount) && stock.take(amount, self.last_ticket) {
+            stock.queue.record_overtaking(amount);
             return Admission::Admitted(Reservation {
                 workspace: workspace.clone(),
-                number: self.numbers,
+                ticket: self.last_ticket,
                 cost,
             });
         }
-        stock.line.push(now, self.numbers, amount, patience);
-        Admission::Queued(self.numbers)
+        stock.queue.push(now, self.last_ticket, amount, max_wait);
+        Admission::Queued(self.last_ticket)
     }
 
     /// Decides on waiting requests; to be called after each answer and at [`Holder::next_decision_at`].
     pub fn poll(&mut self, now: duration::Instant) -> Vec<(u64, Decision)> {
         let mut decided = Vec::new();
-        for (workspace, stock) in &mut self.stocks {
+        for (workspace, stock) in &mut self.buckets {
             stock.advance(now);
-            while let Some(waiter) = stock.line.front() {
+            while let Some(waiter) = stock.queue.front() {
                 if !stock.take(waiter.cost, waiter.ticket) {
                     break;
                 }
-                stock.line.pop();
+                stock.queue.pop();
                 let reservation = Reservation {
                     workspace: workspace.clone(),
-                    number: waiter.ticket,
-                    cost: waiter.cost.whole(),
+                    ticket: waiter.ticket,
+                    cost: waiter.cost.floor(),
                 };
                 decided.push((waiter.ticket, Decision::Admitted(reservation)));
             }
-            let (there, rate, outlook) = (stock.there(), stock.rate, stock.outlook);
-            let hopeless = stock.line.hopeless(now, there, rate, outlook);
-            let refused = hopeless.into_iter();
+            let (available, rate, forecast) = (stock.available(), stock.rate, stock.forecast);
+            let unservable = stock
+                .queue
+                .remove_unservable(now, available, rate, forecast);
+            let refused = unservable.into_iter();
             decided.extend(refused.map(|(ticket, wait)| (ticket, Decision::Refused(wait))));
         }
         decided
@@ -177,13 +179,16 @@
     /// When [`Holder::poll`] can next decide something by the passing of time.
     #[must_use]
     pub fn next_decision_at(&self) -> Option<duration::Instant> {
-        self.stocks.values().filter_map(Stock::wake).min()
+        self.buckets
+            .values()
+            .filter_map(LocalBucket::next_decision_at)
+            .min()
     }
 
     /// Forgets a waiting request whose caller has left.
     pub fn cancel(&mut self, ticket: u64) {
-        for stock in self.stocks.values_mut() {
-            stock.line.remove(ticket);
+        for stock in self.buckets.values_mut() {
+            stock.queue.remove(ticket);
         }
     }
 
@@ -194,86 +199,91 @@
         reservation: &Reservation,
         used: token::Count,
     ) {
-        let Some(stock) = self.stocks.get_mut(&reservation.workspace) else {
+        let Some(stock) = self.buckets.get_mut(&reservation.workspace) else {
             return;
         };
         stock.advance(now);
         let unused = token::Count(reservation.cost.0.saturating_sub(used.0));
-        stock.refund(reservation.number, Amount::from_count(unused));
+        stock.refund(reservation.ticket, Amount::from_count(unused));
     }
 
     /// When the next renewal is to be sent.
     #[must_use]
     pub fn next_renewal_at(&self) -> duration::Instant {
-        let Some(sent) = self.renewals.sent() else {
+        let Some(sent) = self.renewals.sent_at() else {
             return duration::Instant::default();
         };
         if self.renewals.is_awaited() {
             return sent.after(ANSWER_TIMEOUT);
         }
-        let soonest = sent.after(self.gap);
+        let earliest = sent.after(self.min_interval);
         if self.renewals.has_failed() {
-            return sent.after(RENEWAL_INTERVAL.max(self.gap));
+            return sent.after(RENEWAL_INTERVAL.max(self.min_interval));
         }
-        if self.stocks.values().any(Stock::owes) {
-            return soonest;
+        if self.buckets.values().any(LocalBucket::needs_confirmation) {
+            return earliest;
         }
-        let latest = self.latest(sent);
-        let asks = self.asks_leader_at(soonest);
-        asks.map_or(latest, |asks| asks.min(latest))
+        let latest = self.latest_renewal_at(sent);
+        let request_at = self.leader_request_at(earliest);
+        request_at.map_or(latest, |asks| asks.min(latest))
     }
 
     /// When the leader is to be asked for what those in line lack.
-    fn asks_leader_at(&self, soonest: duration::Instant) -> Option<duration::Instant> {
-        let stocks = self.stocks.values();
-        let stocks = stocks.filter(|stock| self.source(stock) == Source::Leader);
-        stocks.filter_map(|stock| stock.asks_at(soonest)).min()
+    fn leader_request_at(&self, earliest: duration::Instant) -> Option<duration::Instant> {
+        let stocks = self.buckets.values();
+        let stocks = stocks.filter(|stock| self.loan_source(stock) == LoanSource::Leader);
+        stocks
+            .filter_map(|stock| stock.next_request_at(earliest))
+            .min()
     }
 
     /// When the leader is to hear of this entry at the latest.
-    fn latest(&self, sent: duration::Instant) -> duration::Instant {
-        let mut active = self.stocks.values().filter(|stock| !stock.idle());
+    fn latest_renewal_at(&self, sent: duration::Instant) -> duration::Instant {
+        let mut active = self.buckets.values().filter(|stock| !stock.is_idle());
         if active
             .clone()
-            .any(|stock| stock.holds() || stock.lender.is_none())
+            .any(|stock| stock.holds_leader_tokens() || stock.lender.is_none())
         {
-            return sent.after(RENEWAL_INTERVAL.max(self.gap));
+            return sent.after(RENEWAL_INTERVAL.max(self.min_interval));
         }
         if active.next().is_some() {
-            return sent.after(REPORT.max(duration::Span(self.gap.0 * REPORT_GAPS)));
+            return sent.after(
+                DEMAND_REPORT_INTERVAL
+                    .max(duration::Span(self.min_interval.0 * DEMAND_REPORT_FACTOR)),
+            );
         }
         NEVER
     }
 
     /// Who lends to a stock: the leader while the entry that should does not answer.
-    fn source(&self, stock: &Stock) -> Source {
+    fn loan_source(&self, stock: &LocalBucket) -> LoanSource {
         match &stock.lender {
-            Some(lender) if stock.asks_lender() && !self.is_silent(lender) => {
-                Source::Entry(lender.clone())
+            Some(lender) if stock.borrows_from_lender() && !self.is_lender_silent(lender) => {
+                LoanSource::Entry(lender.clone())
             }
-            _ => Source::Leader,
+            _ => LoanSource::Leader,
         }
     }
 
-    fn is_silent(&self, lender: &id::Instance) -> bool {
-        self.lenders.get(lender).is_none_or(Stream::is_silent)
+    fn is_lender_silent(&self, lender: &id::Instance) -> bool {
+        self.lenders.get(lender).is_none_or(LoanRequests::is_silent)
     }
 
     /// Why a renewal that is due now is sent.
     #[must_use]
     pub fn renewal_reason(&self) -> RenewalReason {
-        let Some(sent) = self.renewals.sent() else {
+        let Some(sent) = self.renewals.sent_at() else {
             return RenewalReason::Interval;
         };
         if self.renewals.has_failed() || self.renewals.is_awaited() {
             return RenewalReason::NoAnswer;
         }
-        if self.stocks.values().any(Stock::owes) {
+        if self.buckets.values().any(LocalBucket::needs_confirmation) {
             return RenewalReason::Confirmation;
         }
-        let asks = self.asks_leader_at(sent.after(self.gap));
-        match asks {
-            Some(asks) if asks < self.latest(sent) => RenewalReason::Shortage,
+        let request_at = self.leader_request_at(sent.after(self.min_interval));
+        match request_at {
+            Some(asks) if asks < self.latest_renewal_at(sent) => RenewalReason::Shortage,
             _ => RenewalReason::Interval,
         }
     }
@@ -282,20 +292,20 @@
     /// it comes late it is dropped with its tokens.
     pub fn begin_renewal(&mut self, now: duration::Instant) -> share::Renew {
         let sequence = self.renewals.begin(now);
-        self.stocks
+        self.buckets
             .values_mut()
             .for_each(|stock| stock.advance(now));
-        self.stocks
-            .retain(|_, stock| !stock.idle() || stock.lender.is_some());
-        let sources = self.stocks.values().map(|stock| self.source(stock));
-        let sources: Vec<Source> = sources.collect();
+        self.buckets
+            .retain(|_, stock| !stock.is_idle() || stock.lender.is_some());
+        let sources = self.buckets.values().map(|stock| self.loan_source(stock));
+        let sources: Vec<LoanSource> = sources.collect();
         let mut demands = Vec::new();
-        for ((workspace, stock), source) in self.stocks.iter_mut().zip(sources) {
-            if stock.idle() {
+        for ((workspace, stock), source) in self.buckets.iter_mut().zip(sources) {
+            if stock.is_idle() {
                 continue;
             }
-            let borrows = source == Source::Leader;
-            let mut demand = stock.demand(now, workspace, borrows);
+            let borrows = source == LoanSource::Leader;
+            let mut demand = stock.take_demand(now, workspace, borrows);
             if self.closed {
                 demand.rate = token::Rate(0.0);
                 demand.wanted = token::Count(0);
@@ -320,19 +330,19 @@
     /// The lease runs from the sending of the renewal. The leader counts from
     /// its answer, which is later, so this holder stops first.
     pub fn apply_grants(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
-        let Some(sent) = self.renewals.answered(answer.sequence) else {
+        let Some(sent) = self.renewals.take_answer(answer.sequence) else {
             return false;
         };
         let until = sent.after(answer.lease);
-        for stock in self.stocks.values_mut() {
+        for stock in self.buckets.values_mut() {
             stock.advance(now);
-            stock.answered();
+            stock.end_renewal();
         }
         if now >= until || self.closed {
             return true;
         }
         for grant in &answer.grants {
-            if let Some(stock) = self.stocks.get_mut(&grant.workspace) {
+            if let Some(stock) = self.buckets.get_mut(&grant.workspace) {
                 stock.apply(now, grant, sent, until);
             }
         }
@@ -348,7 +358,7 @@
     /// Admits nothing more and hands all tokens back with the next renewal.
     pub fn close(&mut self, now: duration::Instant) {
         self.closed = true;
-        for stock in self.stocks.values_mut() {
+        for stock in self.buckets.values_mut() {
             stock.advance(now);
             stock.close();
         }
@@ -369,15 +379,15 @@
     /// All shares, for a dump.
     #[must_use]
     pub fn dump(&self) -> Vec<Dump> {
-        let dump = |(workspace, stock): (&id::Workspace, &Stock)| Dump {
+        let dump = |(workspace, stock): (&id::Workspace, &LocalBucket)| Dump {
             workspace: workspace.clone(),
             share: stock.share,
             rate: stock.rate.to_rate(),
-            cap: stock.cap.whole(),
-            level: stock.there().whole(),
-            until: stock.until,
+            cap: stock.cap.floor(),
+            level: stock.available().floor(),
+            until: stock.lease_end,
         };
-        self.stocks.iter().map(dump).collect()
+        self.buckets.iter().map(dump).collect()
     }
 }
 
--- a/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
+++ b/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
@@ -7,12 +7,12 @@
 
 use super::super::amount::Amount;
 use super::super::loan_issuer::LOAN_DURATION;
-use super::super::stock::Stock;
-use super::super::stream::{Source, Stream};
+use super::super::loan_requests::{LoanRequests, LoanSource};
+use super::super::local_bucket::LocalBucket;
 use super::Holder;
 
 /// Workspaces of one question, so that it fits into a datagram.
-const MOST_TOGETHER: usize = 16;
+const MAX_WORKSPACES: usize = 16;
 
 impl Holder {
     /// Takes over which entry lends the tokens of which workspace; the leader lends the others'.
@@ -23,17 +23,17 @@
     ) {
         for (workspace, lender) in lenders {
             let stock = self
-                .stocks
+                .buckets
                 .entry(workspace.clone())
-                .or_insert_with(|| Stock::new(now));
+                .or_insert_with(|| LocalBucket::new(now));
             if stock.lender.as_ref() != Some(lender) {
-                stock.turn_to(Some(lender.clone()));
+                stock.set_lender(Some(lender.clone()));
             }
             self.lenders.entry(lender.clone()).or_default();
         }
-        for (workspace, stock) in &mut self.stocks {
+        for (workspace, stock) in &mut self.buckets {
             if stock.lender.is_some() && !lenders.contains_key(workspace) {
-                stock.turn_to(None);
+                stock.set_lender(None);
             }
         }
         let named: Vec<&id::Instance> = lenders.values().collect();
@@ -45,27 +45,35 @@
     pub fn next_loan_request_at(&self) -> Option<duration::Instant> {
         let lenders = self.lenders.iter();
         lenders
-            .filter_map(|(lender, stream)| self.asks_lender_at(lender, stream))
+            .filter_map(|(lender, stream)| self.lender_request_at(lender, stream))
             .min()
     }
 
-    fn asks_lender_at(&self, lender: &id::Instance, stream: &Stream) -> Option<duration::Instant> {
-        let Some(soonest) = stream.soonest() else {
-            return stream.again();
+    fn lender_request_at(
+        &self,
+        lender: &id::Instance,
+        stream: &LoanRequests,
+    ) -> Option<duration::Instant> {
+        let Some(earliest) = stream.next_request_at() else {
+            return stream.resend_at();
         };
         if self.closed {
             return None;
         }
-        let source = Source::Entry(lender.clone());
-        let stocks = self.stocks.values();
-        let lent = |stock: &&Stock| stock.lender.as_ref() == Some(lender);
+        let source = LoanSource::Entry(lender.clone());
+        let stocks = self.buckets.values();
+        let lent = |stock: &&LocalBucket| stock.lender.as_ref() == Some(lender);
         let stocks = stocks.filter(lent);
         let due = stocks.filter_map(|stock| {
-            if !stock.asks_lender() {
-                return stock.denied_until().map(|at| at.max(soonest));
+            if !stock.borrows_from_lender() {
+                return stock.retry_lender_at().map(|at| at.max(earliest));
             }
-            let returns = stock.returns_at(&source).map(|at| at.max(soonest));
-            stock.asks_at(soonest).into_iter().chain(returns).min()
+            let returns = stock.return_loans_at(&source).map(|at| at.max(earliest));
+            stock
+                .next_request_at(earliest)
+                .into_iter()
+                .chain(returns)
+                .min()
         });
         due.min()
     }
@@ -75,49 +83,53 @@
         &mut self,
         now: duration::Instant,
     ) -> Vec<(id::Instance, share::Renew)> {
-        self.stocks
+        self.buckets
             .values_mut()
             .for_each(|stock| stock.advance(now));
         let lenders = self.lenders.iter();
         let due = lenders.filter(|(lender, stream)| {
-            let due = self.asks_lender_at(lender, stream);
+            let due = self.lender_request_at(lender, stream);
             due.is_some_and(|due| now >= due)
         });
         let due: Vec<id::Instance> = due.map(|(lender, _)| lender.clone()).collect();
         let asked = due.into_iter().filter_map(|lender| {
-            let question = self.question(now, &lender)?;
+            let question = self.loan_request(now, &lender)?;
             Some((lender, question))
         });
         asked.collect()
     }
 
-    fn question(&mut self, now: duration::Instant, lender: &id::Instance) -> Option<share::Renew> {
+    fn loan_request(
+        &mut self,
+        now: duration::Instant,
+        lender: &id::Instance,
+    ) -> Option<share::Renew> {
         let stream = self.lenders.get_mut(lender)?;
-        if stream.expire(now) {
+        if stream.give_up_expired(now) {
             // The leader is asked meanwhile, and the lender again after a pause.
             return None;
         }
-        if let Some(again) = stream.repeat(now) {
+        if let Some(again) = stream.resend(now) {
             return Some(again);
         }
         let borrows = !stream.is_silent();
-        let source = Source::Entry(lender.clone());
-        let asked = concerned(&self.stocks, lender, self.renewals.sequence());
+        let source = LoanSource::Entry(lender.clone());
+        let asked = workspaces_to_report(&self.buckets, lender, self.renewals.sequence());
         let mut demands = Vec::with_capacity(asked.len());
         for workspace in asked {
-            if let Some(stock) = self.stocks.get_mut(&workspace) {
+            if let Some(stock) = self.buckets.get_mut(&workspace) {
                 stock.advance(now);
-                demands.push(stock.question(now, &workspace, &source, borrows));
+                demands.push(stock.take_loan_demand(now, &workspace, &source, borrows));
             }
         }
         let question = share::Renew {
             instance: self.instance.clone(),
             boot: self.boot,
-            sequence: self.renewals.next(),
+            sequence: self.renewals.next_sequence(),
             lends: false,
             demands,
         };
-        stream.asked(now, question.clone());
+        stream.record_sent(now, question.clone());
         Some(question)
     }
 
@@ -130,26 +142,26 @@
         answer: &share::Granted,
     ) -> bool {
         let stream = self.lenders.get_mut(lender);
-        let answered = stream.and_then(|stream| stream.answered(answer.sequence));
+        let answered = stream.and_then(|stream| stream.take_answer(answer.sequence));
         let Some((question, sent)) = answered else {
             return false;
         };
-        let source = Source::Entry(lender.clone());
+        let source = LoanSource::Entry(lender.clone());
         let until = sent.after(answer.lease.min(LOAN_DURATION));
         for demand in &question.demands {
-            let Some(stock) = self.stocks.get_mut(&demand.workspace) else {
+            let Some(stock) = self.buckets.get_mut(&demand.workspace) else {
                 continue;
             };
             let mut grants = answer.grants.iter();
             let Some(grant) = grants.find(|grant| grant.workspace == demand.workspace) else {
-                stock.deny(now, &source);
+                stock.record_denial(now, &source);
                 continue;
             };
             stock.advance(now);
             if now < until && !self.closed {
-                stock.borrow(now, grant, until, &source);
+                stock.add_loan(now, grant, until, &source);
             }
-            stock.heard(&source);
+            stock.record_answer(&source);
         }
         true
     }
@@ -157,23 +169,23 @@
 
 /// Workspaces of which a question to one lender tells: those in which somebody waits first,
 /// each of them in its turn where they are too many.
-fn concerned(
-    stocks: &BTreeMap<id::Workspace, Stock>,
+fn workspaces_to_report(
+    stocks: &BTreeMap<id::Workspace, LocalBucket>,
     lender: &id::Instance,
     turn: number::Sequence,
 ) -> Vec<id::Workspace> {
-    let source = Source::Entry(lender.clone());
+    let source = LoanSource::Entry(lender.clone());
     let concerned = stocks.iter().filter(|(_, stock)| {
-        let lent = stock.asks_lender() && stock.lender.as_ref() == Some(lender);
-        lent && stock.concerns(&source)
+        let lent = stock.borrows_from_lender() && stock.lender.as_ref() == Some(lender);
+        lent && stock.has_report_for(&source)
     });
     let (mut short, rest): (Vec<_>, Vec<_>) =
-        concerned.partition(|(_, stock)| stock.short() > Amount::ZERO);
-    if short.len() > MOST_TOGETHER {
-        let turn = usize::try_from(turn.0).unwrap_or_default() * MOST_TOGETHER;
+        concerned.partition(|(_, stock)| stock.shortage() > Amount::ZERO);
+    if short.len() > MAX_WORKSPACES {
+        let turn = usize::try_from(turn.0).unwrap_or_default() * MAX_WORKSPACES;
         let begin = turn % short.len();
         short.rotate_left(begin);
     }
-    let asked = short.into_iter().chain(rest).take(MOST_TOGETHER);
+    let asked = short.into_iter().chain(rest).take(MAX_WORKSPACES);
     asked.map(|(workspace, _)| workspace.clone()).collect()
 }
--- a/crates/cranberrygap-policy/src/limits/lending.rs
+++ b/crates/cranberrygap-policy/src/limits/lending.rs
@@ -11,7 +11,7 @@
 use cranberrygap_wire::share;
 use serde::Serialize;
 
-use super::amount::{Amount, Flow};
+use super::amount::{Amount, FixedRate};
 use super::loan_issuer::{LOAN_DURATION, LoanIssuer, Supply};
 use super::owner::Owner;
 use super::renewals::Renewals;
@@ -19,7 +19,7 @@
 use crate::leader_calls;
 
 /// Time between two renewals of what is lent. Several fit into a lease.
-const RENEWAL: duration::Span = duration::Span(LEASE_DURATION.0 / 4);
+const LENDER_RENEWAL_INTERVAL: duration::Span = duration::Span(LEASE_DURATION.0 / 4);
 
 /// Time after which a renewal without an answer is given up. Its lease is good for twice
 /// that, and a renewal that is given up is one more for a leader that is late.
@@ -27,16 +27,16 @@
 
 /// Time kept between the end of a loan and that of the lease it is lent from: clocks of two
 /// instances differ by some hundred millionths.
-const MARGIN: duration::Span = duration::Span::from_millis(20);
+const LOAN_END_MARGIN: duration::Span = duration::Span::from_millis(20);
 
 /// Shortest loan that is of use to anybody.
-const SHORTEST: duration::Span = duration::Span::from_millis(50);
+const MIN_LOAN_DURATION: duration::Span = duration::Span::from_millis(50);
 
 /// Time after which somebody asks again here while the leader has not handed the pool over.
-const EXPECTED: duration::Span = duration::Span::from_millis(100);
+const RETRY_DELAY: duration::Span = duration::Span::from_millis(100);
 
 /// Time after which nothing of an entry that was not heard is awaited any more.
-const FORGOTTEN: duration::Span = duration::Span(LOAN_DURATION.0 * 4);
+const ANSWER_RETENTION: duration::Span = duration::Span(LOAN_DURATION.0 * 4);
 
 /// What one entry lends of each workspace that the leader chose it for.
 #[derive(Debug)]
@@ -45,14 +45,14 @@
     boot: number::Boot,
     renewals: Renewals,
     closed: bool,
-    gap: duration::Span,
+    min_interval: duration::Span,
     pools: BTreeMap<id::Workspace, Pool>,
-    heard: BTreeMap<Owner, Heard>,
+    last_answers: BTreeMap<Owner, LastAnswer>,
 }
 
 /// The last question of an entry, and what it was answered.
 #[derive(Debug)]
-struct Heard {
+struct LastAnswer {
     at: duration::Instant,
     answer: share::Granted,
 }
@@ -83,23 +83,23 @@
             boot,
             renewals: Renewals::default(),
             closed: false,
-            gap: duration::Span(0),
+            min_interval: duration::Span(0),
             pools: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_answers: BTreeMap::new(),
         }
     }
 
     /// Takes over how many entries renew at the same leader.
-    pub fn set_entry_count(&mut self, entries: usize) {
-        self.gap = leader_calls::min_interval(entries);
+    pub fn set_entry_count(&mut self, count: usize) {
+        self.min_interval = leader_calls::min_interval(count);
     }
 
     /// Takes over the workspaces whose tokens this entry is to lend.
-    pub fn set_workspaces(&mut self, now: duration::Instant, chosen: &[id::Workspace]) {
+    pub fn set_workspaces(&mut self, now: duration::Instant, selected: &[id::Workspace]) {
         for (workspace, pool) in &mut self.pools {
-            pool.chosen = chosen.contains(workspace);
+            pool.is_selected = selected.contains(workspace);
         }
-        for workspace in chosen {
+        for workspace in selected {
             self.pools
                 .entry(workspace.clone())
                 .or_insert_with(|| Pool::new(now));
@@ -113,20 +113,20 @@
     pub fn answer(
         &mut self,
         now: duration::Instant,
-        question: &share::Renew,
+        request: &share::Renew,
     ) -> Option<share::Granted> {
-        let owner = Owner::of(question);
-        if let Some(heard) = self.heard.get(&owner) {
-            if question.sequence == heard.answer.sequence {
+        let owner = Owner::from_renewal(request);
+        if let Some(heard) = self.last_answers.get(&owner) {
+            if request.sequence == heard.answer.sequence {
                 return Some(heard.answer.clone());
             }
-            if question.sequence < heard.answer.sequence {
+            if request.sequence < heard.answer.sequence {
                 return None;
             }
         }
-        let mut life = LOAN_DURATION;
+        let mut loan_duration = LOAN_DURATION;
         let mut grants = Vec::new();
-        for demand in &question.demands {
+        for demand in &request.demands {
             let Some(pool) = self.pools.get_mut(&demand.workspace) else {
                 continue;
             };
@@ -135,22 +135,22 @@
                 // The leader may have the tokens; whoever asks goes there.
                 continue;
             }
-            life = life.min(pool.life(now));
+            loan_duration = loan_duration.min(pool.loan_duration(now));
             grants.push(pool.lend(now, &owner, demand));
         }
         let answer = share::Granted {
-            sequence: question.sequence,
+            sequence: request.sequence,
             term: number::Term::default(),
-            lease: life,
+            lease: loan_duration,
             grants,
         };
-        self.heard
-            .retain(|_, heard| now.since(heard.at) < FORGOTTEN);
-        let heard = Heard {
+        self.last_answers
+            .retain(|_, heard| now.since(heard.at) < ANSWER_RETENTION);
+        let heard = LastAnswer {
             at: now,
             answer: answer.clone(),
         };
-        self.heard.insert(owner, heard);
+        self.last_answers.insert(owner, heard);
         Some(answer)
     }
 
@@ -160,31 +160,31 @@
         if self.pools.is_empty() {
             return NEVER;
         }
-        let Some(sent) = self.renewals.sent() else {
+        let Some(sent) = self.renewals.sent_at() else {
             return duration::Instant::default();
         };
         if self.renewals.is_awaited() {
             return sent.after(ANSWER_TIMEOUT);
         }
         if self.renewals.has_failed() {
-            return sent.after(RENEWAL_INTERVAL.max(self.gap));
+            return sent.after(RENEWAL_INTERVAL.max(self.min_interval));
         }
-        let urgent = self.pools.values().any(Pool::is_urgent);
-        let span = if urgent {
-            self.gap
+        let is_urgent = self.pools.values().any(Pool::is_urgent);
+        let interval = if is_urgent {
+            self.min_interval
         } else {
-            RENEWAL.max(self.gap)
+            LENDER_RENEWAL_INTERVAL.max(self.min_interval)
         };
-        sent.after(span)
+        sent.after(interval)
     }
 
     /// The renewal to send to the leader now.
     pub fn begin_renewal(&mut self, now: duration::Instant) -> share::Renew {
         let sequence = self.renewals.begin(now);
         self.pools.values_mut().for_each(|pool| pool.advance(now));
-        self.pools.retain(|_, pool| !pool.is_done());
+        self.pools.retain(|_, pool| !pool.is_finished());
         let pools = self.pools.iter_mut();
-        let demands = pools.map(|(workspace, pool)| pool.demand(workspace));
+        let demands = pools.map(|(workspace, pool)| pool.take_demand(workspace));
         share::Renew {
             instance: self.instance.clone(),
             boot: self.boot,
@@ -196,7 +196,7 @@
 
     /// Applies the leader's answer; true when it was the awaited one.
     pub fn apply_grants(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
-        let Some(sent) = self.renewals.answered(answer.sequence) else {
+        let Some(sent) = self.renewals.take_answer(answer.sequence) else {
             return false;
         };
         let until = sent.after(answer.lease);
@@ -238,10 +238,10 @@
         let dump = |(workspace, pool): (&id::Workspace, &Pool)| Dump {
             workspace: workspace.clone(),
             rate: pool.rate.to_rate(),
-            cap: pool.cap.whole(),
-            level: pool.level.whole(),
-            lent: pool.lender.lent().whole(),
-            until: pool.until,
+            cap: pool.cap.floor(),
+            level: pool.level.floor(),
+            lent: pool.loans.outstanding().floor(),
+            until: pool.lease_end,
         };
         self.pools.iter().map(dump).collect()
     }
@@ -251,50 +251,50 @@
 #[derive(Debug, Default)]
 struct Pool {
     /// Whether the leader chose this entry.
-    chosen: bool,
+    is_selected: bool,
     share: u64,
-    rate: Flow,
+    rate: FixedRate,
     cap: Amount,
     level: Amount,
-    until: duration::Instant,
-    accrued: duration::Instant,
+    lease_end: duration::Instant,
+    accrued_at: duration::Instant,
     /// Tokens to hand back with the next renewal.
     surplus: Amount,
     /// The share changed and the leader does not know yet that it arrived.
     unconfirmed: bool,
-    lender: LoanIssuer,
+    loans: LoanIssuer,
 }
 
 impl Pool {
     fn new(now: duration::Instant) -> Self {
         Self {
-            chosen: true,
-            accrued: now,
+            is_selected: true,
+            accrued_at: now,
             ..Self::default()
         }
     }
 
     /// Brings the pool up to `now`: the lease may have run out, else tokens accrue.
     fn advance(&mut self, now: duration::Instant) {
-        if self.share != 0 && now >= self.until {
-            self.lapse();
+        if self.share != 0 && now >= self.lease_end {
+            self.drop_share();
         }
-        self.lender.expire(now);
-        let gained = self.rate.over(now.since(self.accrued));
-        self.accrued = self.accrued.max(now);
+        self.loans.expire(now);
+        let gained = self.rate.accrued_in(now.since(self.accrued_at));
+        self.accrued_at = self.accrued_at.max(now);
         self.level = self.level.plus(gained);
-        self.cut();
+        self.cap_level();
     }
 
     /// Loans that may still be spent are part of what the leader granted.
-    fn cut(&mut self) {
-        self.level = self.level.min(self.cap.minus(self.lender.lent()));
+    fn cap_level(&mut self) {
+        self.level = self.level.min(self.cap.minus(self.loans.outstanding()));
     }
 
     /// Time for which a loan may live.
-    fn life(&self, now: duration::Instant) -> duration::Span {
-        let left = self.until.since(now);
-        LOAN_DURATION.min(duration::Span(left.0.saturating_sub(MARGIN.0)))
+    fn loan_duration(&self, now: duration::Instant) -> duration::Span {
+        let left = self.lease_end.since(now);
+        LOAN_DURATION.min(duration::Span(left.0.saturating_sub(LOAN_END_MARGIN.0)))
     }
 
     fn lend(
@@ -305,22 +305,26 @@
     ) -> share::Grant {
         let kept = Amount::from_count(demand.lent);
         let unlent = Amount::from_count(demand.unlent);
-        let back = self.lender.confirm(owner, kept, unlent);
-        self.level = self.level.plus(back);
-        self.cut();
-        let lends = self.life(now) >= SHORTEST;
+        let returned = self.loans.confirm_loans(owner, kept, unlent);
+        self.level = self.level.plus(returned);
+        self.cap_level();
+        let can_lend = self.loan_duration(now) >= MIN_LOAN_DURATION;
         let supply = Supply {
-            pool: if lends { self.level } else { Amount::ZERO },
+            pool: if can_lend { self.level } else { Amount::ZERO },
             rate: self.rate,
-            from: if lends { now } else { now.after(EXPECTED) },
+            accrues_from: if can_lend {
+                now
+            } else {
+                now.after(RETRY_DELAY)
+            },
             burst: self.cap,
-            ahead: true,
+            lends_in_advance: true,
         };
-        let mut offer = self.lender.serve(now, owner, demand, &supply);
-        if !lends {
+        let mut offer = self.loans.serve(now, owner, demand, &supply);
+        if !can_lend {
             // The leader's next answer decides; nothing is known of the time after it.
-            offer.wait = offer.wait.min(EXPECTED);
-            offer.longest = offer.longest.min(EXPECTED);
+            offer.first_wait = offer.first_wait.min(RETRY_DELAY);
+            offer.total_wait = offer.total_wait.min(RETRY_DELAY);
         }
         self.level = self.level.minus(offer.lent);
         share::Grant {
@@ -329,17 +333,17 @@
             rate: token::Rate(0.0),
             cap: token::Count(0),
             tokens: token::Count(0),
-            lent: offer.lent.whole(),
-            wait: offer.wait,
-            longest: offer.longest,
+            lent: offer.lent.floor(),
+            wait: offer.first_wait,
+            longest: offer.total_wait,
         }
     }
 
     /// What the next renewal says. No space is kept for tokens of the leader's pool: while it
     /// is awaited the pool goes on to fill.
-    fn demand(&mut self, workspace: &id::Workspace) -> share::Demand {
+    fn take_demand(&mut self, workspace: &id::Workspace) -> share::Demand {
         self.unconfirmed = false;
-        let returned = std::mem::take(&mut self.surplus).whole();
+        let returned = std::mem::take(&mut self.surplus).floor();
         share::Demand {
             workspace: workspace.clone(),
             rate: token::Rate(0.0),
@@ -349,7 +353,7 @@
             share: self.share,
             first: token::Count(0),
             usual: token::Count(0),
-            lent: self.lender.lent().covering(),
+            lent: self.loans.outstanding().ceil(),
             unlent: token::Count(0),
         }
     }
@@ -357,41 +361,41 @@
     fn apply(&mut self, grant: &share::Grant, until: duration::Instant) {
         self.unconfirmed = grant.share != self.share;
         self.share = grant.share;
-        self.rate = Flow::from_rate(grant.rate);
+        self.rate = FixedRate::from_rate(grant.rate);
         self.cap = Amount::from_count(grant.cap);
-        self.until = until;
+        self.lease_end = until;
         self.level = self.level.plus(Amount::from_count(grant.tokens));
-        let most = self.cap.minus(self.lender.lent());
-        self.surplus = self.surplus.plus(self.level.minus(most));
-        self.cut();
+        let max_level = self.cap.minus(self.loans.outstanding());
+        self.surplus = self.surplus.plus(self.level.minus(max_level));
+        self.cap_level();
     }
 
     /// Whether the leader has to hear or give something soon.
     fn is_urgent(&self) -> bool {
         let holds = self.share != 0 && self.cap > Amount::ZERO;
-        self.unconfirmed || self.chosen != holds
+        self.unconfirmed || self.is_selected != holds
     }
 
     /// Whether nothing is held, owed or lent any more.
-    fn is_done(&self) -> bool {
-        let holds = self.cap > Amount::ZERO || self.lender.lent() > Amount::ZERO;
-        !self.chosen && !holds && !self.unconfirmed && self.surplus.whole().0 == 0
+    fn is_finished(&self) -> bool {
+        let holds = self.cap > Amount::ZERO || self.loans.outstanding() > Amount::ZERO;
+        !self.is_selected && !holds && !self.unconfirmed && self.surplus.floor().0 == 0
     }
 
     fn close(&mut self) {
-        self.chosen = false;
+        self.is_selected = false;
         self.surplus = self.surplus.plus(self.level);
         self.share = 0;
-        self.rate = Flow::ZERO;
+        self.rate = FixedRate::ZERO;
         self.cap = Amount::ZERO;
         self.level = Amount::ZERO;
         self.unconfirmed = true;
     }
 
     /// Forgets what the lease carried; all loans have ended before it.
-    fn lapse(&mut self) {
+    fn drop_share(&mut self) {
         self.share = 0;
-        self.rate = Flow::ZERO;
+        self.rate = FixedRate::ZERO;
         self.cap = Amount::ZERO;
         self.level = Amount::ZERO;
         self.surplus = Amount::ZERO;
--- a/crates/cranberrygap-policy/src/limits/owner.rs
+++ b/crates/cranberrygap-policy/src/limits/owner.rs
@@ -16,7 +16,7 @@
 
 impl Owner {
     /// The sender of a renewal.
-    pub(super) fn of(renew: &share::Renew) -> Self {
+    pub(super) fn from_renewal(renew: &share::Renew) -> Self {
         Self {
             instance: renew.instance.clone(),
             boot: renew.boot,
@@ -25,7 +25,7 @@
     }
 
     /// Whose share an entry of the log is on.
-    pub(super) fn logged(allocation: &share::Allocation) -> Self {
+    pub(super) fn from_allocation(allocation: &share::Allocation) -> Self {
         Self {
             instance: allocation.instance.clone(),
             boot: allocation.boot,
--- a/crates/cranberrygap-policy/src/limits/room.rs
+++ b/crates/cranberrygap-policy/src/limits/refund_limit.rs
@@ -5,7 +5,7 @@
 use super::amount::Amount;
 
 /// Groups kept at most; the reservations of older groups get no refund.
-const MOST_GROUPS: usize = 4096;
+const MAX_GROUPS: usize = 4096;
 
 /// Least free space of a share since each open reservation was made.
 ///
@@ -16,54 +16,65 @@
 /// the least free space since the reservation: just what the share would hold
 /// had the smaller amount been taken from the start.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Room {
+pub(super) struct RefundLimit {
     /// From old to new; the space only grows along the queue.
     groups: VecDeque<Group>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Group {
-    first: u64,
-    space: Amount,
+    first_reservation: u64,
+    free_space: Amount,
 }
 
-impl Room {
+impl RefundLimit {
     /// Notes the free space of the share at this moment.
-    pub(super) fn observe(&mut self, free: Amount) {
+    pub(super) fn observe_free_space(&mut self, free: Amount) {
         let mut first = None;
         while let Some(group) = self.groups.back() {
-            if group.space <= free {
+            if group.free_space <= free {
                 break;
             }
-            first = Some(group.first);
+            first = Some(group.first_reservation);
             self.groups.pop_back();
         }
         if let Some(first) = first {
-            self.groups.push_back(Group { first, space: free });
+            self.groups.push_back(Group {
+                first_reservation: first,
+                free_space: free,
+            });
         }
     }
 
     /// Notes reservation `number`, after which `free` space is left in the share.
-    pub(super) fn open(&mut self, number: u64, free: Amount) {
-        if self.groups.back().is_some_and(|group| group.space == free) {
+    pub(super) fn record_reservation(&mut self, number: u64, free: Amount) {
+        if self
+            .groups
+            .back()
+            .is_some_and(|group| group.free_space == free)
+        {
             return;
         }
         self.groups.push_back(Group {
-            first: number,
-            space: free,
+            first_reservation: number,
+            free_space: free,
         });
-        if self.groups.len() > MOST_GROUPS {
+        if self.groups.len() > MAX_GROUPS {
             self.groups.pop_front();
         }
     }
 
     /// Takes a refund of at most `wanted` for reservation `number`.
     pub(super) fn refund(&mut self, number: u64, wanted: Amount) -> Amount {
-        let group = self.groups.iter().rev().find(|group| group.first <= number);
-        let space = group.map_or(Amount::ZERO, |group| group.space);
+        let group = self
+            .groups
+            .iter()
+            .rev()
+            .find(|group| group.first_reservation <= number);
+        let space = group.map_or(Amount::ZERO, |group| group.free_space);
         let refund = wanted.min(space);
         for group in &mut self.groups {
-            group.space = group.space.minus(refund);
+            group.free_space = group.free_space.minus(refund);
         }
         refund
     }
--- a/crates/cranberrygap-policy/src/limits/renewals.rs
+++ b/crates/cranberrygap-policy/src/limits/renewals.rs
@@ -10,7 +10,7 @@
 pub(super) struct Renewals {
     sequence: number::Sequence,
     awaited: Option<number::Sequence>,
-    sent: Option<duration::Instant>,
+    sent_at: Option<duration::Instant>,
     failed: bool,
 }
 
@@ -21,24 +21,24 @@
     }
 
     /// Numbers the next message.
-    pub(super) fn next(&mut self) -> number::Sequence {
+    pub(super) fn next_sequence(&mut self) -> number::Sequence {
         self.sequence = self.sequence.next();
         self.sequence
     }
 
     /// A renewal is sent; an answer that is still awaited is given up.
     pub(super) fn begin(&mut self, now: duration::Instant) -> number::Sequence {
-        let sequence = self.next();
-        self.sent = Some(now);
+        let sequence = self.next_sequence();
+        self.sent_at = Some(now);
         self.failed = false;
         self.awaited = Some(sequence);
         sequence
     }
 
     /// Takes an answer; gives when its renewal was sent, if it is the awaited one.
-    pub(super) fn answered(&mut self, sequence: number::Sequence) -> Option<duration::Instant> {
+    pub(super) fn take_answer(&mut self, sequence: number::Sequence) -> Option<duration::Instant> {
         self.awaited.take_if(|awaited| *awaited == sequence)?;
-        self.sent
+        self.sent_at
     }
 
     /// Notes that a renewal got no answer.
@@ -48,8 +48,8 @@
     }
 
     /// When the last renewal was sent.
-    pub(super) const fn sent(&self) -> Option<duration::Instant> {
-        self.sent
+    pub(super) const fn sent_at(&self) -> Option<duration::Instant> {
+        self.sent_at
     }
 
     /// Whether an answer is awaited.
--- a/crates/cranberrygap-policy/src/limits/line.rs
+++ b/crates/cranberrygap-policy/src/limits/wait_queue.rs
@@ -4,21 +4,21 @@
 
 use cranberrygap_model::duration;
 
-use super::amount::{Amount, Flow};
+use super::amount::{Amount, FixedRate};
 
 /// How many times smaller than the first in line a request must be to go before it.
-const SMALL: u64 = 3;
+const OVERTAKE_FACTOR: u64 = 3;
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiter {
     pub(super) ticket: u64,
     pub(super) cost: Amount,
     /// Until when it waits behind others, and until when for the leader's word.
-    pub(super) in_line: duration::Instant,
-    pub(super) for_leader: duration::Instant,
+    pub(super) queue_deadline: duration::Instant,
+    pub(super) leader_deadline: duration::Instant,
     stage: Stage,
     /// What small requests that came later have taken before it.
-    passed: Amount,
+    overtaken: Amount,
 }
 
 /// How long a request waits for its tokens.
@@ -54,30 +54,34 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub(super) struct Line {
+pub(super) struct WaitQueue {
     waiters: VecDeque<Waiter>,
-    total: Amount,
+    total_cost: Amount,
 }
 
 /// When waiting requests may get their tokens, as the leader said.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Outlook {
+pub(super) struct Forecast {
     /// Tokens short of the first in line at that time, and of all.
-    pub(super) first: Amount,
-    pub(super) wanted: Amount,
+    pub(super) first_shortage: Amount,
+    pub(super) total_shortage: Amount,
     /// When these may be there.
     pub(super) first_at: duration::Instant,
     pub(super) all_at: duration::Instant,
 }
 
-impl Outlook {
+impl Forecast {
     /// When so many tokens may have come.
-    pub(super) fn at(&self, short: Amount) -> duration::Instant {
-        if short <= self.first {
+    pub(super) fn available_at(&self, short: Amount) -> duration::Instant {
+        if short <= self.first_shortage {
             return self.first_at;
         }
-        let more = short.minus(self.first).as_f64();
-        let rest = self.wanted.minus(self.first).as_f64().max(1.0);
+        let more = short.minus(self.first_shortage).as_f64();
+        let rest = self
+            .total_shortage
+            .minus(self.first_shortage)
+            .as_f64()
+            .max(1.0);
         let span = self.all_at.since(self.first_at);
         self.first_at.after(span.scaled(more / rest))
     }
@@ -90,40 +94,40 @@
 /// booking of a workspace above its rate would be late, though the tokens that it
 /// needs are there most of the time. What goes before a request costs no more than
 /// that one itself, so that small requests hold up no large one for good.
-pub(super) fn may_pass(cost: Amount, first: Amount, passed: Amount) -> bool {
-    let small = cost.0.saturating_mul(SMALL) <= first.0;
+pub(super) fn may_overtake(cost: Amount, first: Amount, passed: Amount) -> bool {
+    let small = cost.0.saturating_mul(OVERTAKE_FACTOR) <= first.0;
     small && passed.plus(cost) <= first
 }
 
-impl Line {
+impl WaitQueue {
     pub(super) fn push(
         &mut self,
         now: duration::Instant,
         ticket: u64,
         cost: Amount,
-        patience: MaxWait,
+        max_wait: MaxWait,
     ) {
-        self.total = self.total.plus(cost);
-        let mut place = self.waiters.len();
-        while let Some(before) = place
+        self.total_cost = self.total_cost.plus(cost);
+        let mut index = self.waiters.len();
+        while let Some(before) = index
             .checked_sub(1)
             .and_then(|place| self.waiters.get_mut(place))
         {
-            if !may_pass(cost, before.cost, before.passed) {
+            if !may_overtake(cost, before.cost, before.overtaken) {
                 break;
             }
-            before.passed = before.passed.plus(cost);
-            place -= 1;
+            before.overtaken = before.overtaken.plus(cost);
+            index -= 1;
         }
         let waiter = Waiter {
             ticket,
             cost,
-            in_line: now.after(patience.in_queue),
-            for_leader: now.after(patience.for_leader),
+            queue_deadline: now.after(max_wait.in_queue),
+            leader_deadline: now.after(max_wait.for_leader),
             stage: Stage::New,
-            passed: Amount::ZERO,
+            overtaken: Amount::ZERO,
         };
-        self.waiters.insert(place, waiter);
+        self.waiters.insert(index, waiter);
     }
 
     pub(super) fn front(&self) -> Option<Waiter> {
@@ -132,30 +136,30 @@
 
     pub(super) fn pop(&mut self) {
         if let Some(waiter) = self.waiters.pop_front() {
-            self.total = self.total.minus(waiter.cost);
+            self.total_cost = self.total_cost.minus(waiter.cost);
         }
     }
 
     /// Whether a request may take tokens that are there though others wait.
-    pub(super) fn may_pass(&self, cost: Amount) -> bool {
+    pub(super) fn may_overtake_all(&self, cost: Amount) -> bool {
         let mut waiters = self.waiters.iter();
-        waiters.all(|waiter| may_pass(cost, waiter.cost, waiter.passed))
+        waiters.all(|waiter| may_overtake(cost, waiter.cost, waiter.overtaken))
     }
 
     /// A request has gone before those in line.
-    pub(super) fn pass(&mut self, cost: Amount) {
+    pub(super) fn record_overtaking(&mut self, cost: Amount) {
         for waiter in &mut self.waiters {
-            waiter.passed = waiter.passed.plus(cost);
+            waiter.overtaken = waiter.overtaken.plus(cost);
         }
     }
 
     /// Whether some in line are not known to the leader.
-    pub(super) fn has_new(&self) -> bool {
+    pub(super) fn has_new_requests(&self) -> bool {
         self.waiters.iter().any(|waiter| waiter.stage == Stage::New)
     }
 
-    pub(super) fn total(&self) -> Amount {
-        self.total
+    pub(super) fn total_cost(&self) -> Amount {
+        self.total_cost
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -164,7 +168,7 @@
 
     /// Takes a request out whose caller has left.
     pub(super) fn remove(&mut self, ticket: u64) {
-        let total = &mut self.total;
+        let total = &mut self.total_cost;
         self.waiters.retain(|waiter| {
             let keep = waiter.ticket != ticket;
             if !keep {
@@ -175,14 +179,14 @@
     }
 
     /// Whoever was asked for those in line lends no more.
-    pub(super) fn forgotten(&mut self) {
+    pub(super) fn mark_new(&mut self) {
         for waiter in &mut self.waiters {
             waiter.stage = Stage::New;
         }
     }
 
     /// A renewal leaves that asks for what all in line lack.
-    pub(super) fn asked(&mut self) {
+    pub(super) fn mark_asked(&mut self) {
         for waiter in &mut self.waiters {
             if waiter.stage == Stage::New {
                 waiter.stage = Stage::Asked;
@@ -191,7 +195,7 @@
     }
 
     /// The answer to the last renewal has come.
-    pub(super) fn answered(&mut self) {
+    pub(super) fn mark_answered(&mut self) {
         for waiter in &mut self.waiters {
             if waiter.stage == Stage::Asked {
                 waiter.stage = Stage::Answered;
@@ -203,41 +207,41 @@
     ///
     /// A request that the leader's answer did not help, and that neither the share's own
     /// rate nor the pool will help before its deadline, is given up at once.
-    pub(super) fn hopeless(
+    pub(super) fn remove_unservable(
         &mut self,
         now: duration::Instant,
         level: Amount,
-        rate: Flow,
-        outlook: Option<Outlook>,
+        rate: FixedRate,
+        forecast: Option<Forecast>,
     ) -> Vec<(u64, duration::Span)> {
         let mut given_up = Vec::new();
         let mut ahead = Amount::ZERO;
-        let mut total = self.total;
+        let mut total = self.total_cost;
         self.waiters.retain(|waiter| {
             let needs = ahead.plus(waiter.cost);
             let short = needs.minus(level);
-            let own = now.after(rate.time_for(short));
+            let accrued_at = now.after(rate.time_to_accrue(short));
             // Without a word from the leader on those that still wait it may well have
             // tokens: others have taken here what came for them.
-            let lent = outlook.map_or(now, |outlook| outlook.at(short));
-            let served = own.min(lent);
-            let late = served > waiter.in_line;
-            let told = waiter.stage == Stage::Answered;
-            let drop = now >= waiter.for_leader || (told && late);
+            let lent_at = forecast.map_or(now, |outlook| outlook.available_at(short));
+            let served_at = accrued_at.min(lent_at);
+            let is_late = served_at > waiter.queue_deadline;
+            let is_answered = waiter.stage == Stage::Answered;
+            let drop = now >= waiter.leader_deadline || (is_answered && is_late);
             if drop {
-                given_up.push((waiter.ticket, served.since(now)));
+                given_up.push((waiter.ticket, served_at.since(now)));
                 total = total.minus(waiter.cost);
             } else {
                 ahead = needs;
             }
             !drop
         });
-        self.total = total;
+        self.total_cost = total;
         given_up
     }
 
     pub(super) fn next_deadline(&self) -> Option<duration::Instant> {
         let waiters = self.waiters.iter();
-        waiters.map(|waiter| waiter.for_leader).min()
+        waiters.map(|waiter| waiter.leader_deadline).min()
     }
 }
--- a/crates/cranberrygap-policy/src/quarantine/permission.rs
+++ b/crates/cranberrygap-policy/src/quarantine/permission.rs
@@ -11,7 +11,7 @@
 pub const LEASE_DURATION: duration::Span = duration::Span::from_secs(5);
 
 /// Time beyond the lease for which the leader keeps an endpoint to one suspect.
-const MARGIN: duration::Span = duration::Span::from_millis(100);
+const LEASE_MARGIN: duration::Span = duration::Span::from_millis(100);
 
 /// Who runs as a suspect on each endpoint.
 ///
@@ -21,9 +21,9 @@
 /// has one name.
 #[derive(Debug, Default)]
 pub struct Table {
-    held: BTreeMap<id::Endpoint, Permission>,
+    permissions: BTreeMap<id::Endpoint, Permission>,
     /// Nothing is granted before; a predecessor's leaves may still hold.
-    opens: duration::Instant,
+    grants_from: duration::Instant,
 }
 
 /// One suspect's right to run on one endpoint.
@@ -44,8 +44,8 @@
     #[must_use]
     pub fn new(now: duration::Instant) -> Self {
         Self {
-            held: BTreeMap::new(),
-            opens: now.after(LEASE_DURATION).after(MARGIN),
+            permissions: BTreeMap::new(),
+            grants_from: now.after(LEASE_DURATION).after(LEASE_MARGIN),
         }
     }
 
@@ -57,44 +57,47 @@
         endpoint: &id::Endpoint,
         wanted: &Permission,
     ) -> bool {
-        self.held.retain(|_, leave| now < leave.until);
-        if now < self.opens {
+        self.permissions.retain(|_, leave| now < leave.until);
+        if now < self.grants_from {
             return false;
         }
         let same = |leave: &Permission| {
             (&leave.fingerprint, &leave.instance, leave.boot)
                 == (&wanted.fingerprint, &wanted.instance, wanted.boot)
         };
-        let taken = self.held.get(endpoint).is_some_and(|leave| !same(leave));
+        let taken = self
+            .permissions
+            .get(endpoint)
+            .is_some_and(|leave| !same(leave));
         let elsewhere = self
-            .held
+            .permissions
             .iter()
             .any(|(other, leave)| other != endpoint && leave.fingerprint == wanted.fingerprint);
         if taken || elsewhere {
             return false;
         }
-        let until = now.after(LEASE_DURATION).after(MARGIN);
+        let until = now.after(LEASE_DURATION).after(LEASE_MARGIN);
         let leave = Permission {
             until,
             ..wanted.clone()
         };
-        self.held.insert(endpoint.clone(), leave);
+        self.permissions.insert(endpoint.clone(), leave);
         true
     }
 
     /// Ends a leave early, when the suspect has ended.
     pub fn release(&mut self, endpoint: &id::Endpoint, wanted: &Permission) {
-        let same = self.held.get(endpoint).is_some_and(|leave| {
+        let same = self.permissions.get(endpoint).is_some_and(|leave| {
             leave.fingerprint == wanted.fingerprint && leave.boot == wanted.boot
         });
         if same {
-            self.held.remove(endpoint);
+            self.permissions.remove(endpoint);
         }
     }
 
     /// All leaves, for a dump.
     #[must_use]
     pub fn dump(&self) -> BTreeMap<id::Endpoint, Permission> {
-        self.held.clone()
+        self.permissions.clone()
     }
 }
--- a/crates/cranberrygap-policy/src/quarantine/suspects.rs
+++ b/crates/cranberrygap-policy/src/quarantine/suspects.rs
@@ -9,10 +9,10 @@
 /// Time for which a fingerprint stays suspect here. Longer than callers keep on
 /// sending a request again; short enough that a common harmless request, such
 /// as a health check, is not held against for ever.
-const SUSPICION: duration::Span = duration::Span::from_secs(600);
+const SUSPICION_DURATION: duration::Span = duration::Span::from_secs(600);
 
 /// Suspects that are remembered; the oldest go first.
-const MOST_SUSPECTS: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 
 /// One life of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -48,9 +48,9 @@
 pub struct Tracker {
     running: BTreeMap<Incarnation, BTreeMap<u64, SmolStr>>,
     dead: BTreeMap<Incarnation, duration::Instant>,
-    leases: BTreeMap<Incarnation, (SmolStr, duration::Instant)>,
+    permissions: BTreeMap<Incarnation, (SmolStr, duration::Instant)>,
     suspects: BTreeMap<SmolStr, duration::Instant>,
-    next: u64,
+    last_number: u64,
 }
 
 impl Tracker {
@@ -71,12 +71,12 @@
         if self.is_suspect(now, fingerprint) && self.has_other_suspect(now, place, fingerprint) {
             return Err(Denial::OtherSuspect);
         }
-        self.next += 1;
+        self.last_number += 1;
         self.running
             .entry(place.clone())
             .or_default()
-            .insert(self.next, fingerprint.clone());
-        Ok(self.next)
+            .insert(self.last_number, fingerprint.clone());
+        Ok(self.last_number)
     }
 
     /// Notes that a request ended without harm to its endpoint; a suspect that
@@ -109,8 +109,8 @@
         for fingerprint in &fingerprints {
             self.suspects.insert(fingerprint.clone(), now);
         }
-        self.forget(now);
-        let lease = self.leases.remove(place);
+        self.drop_expired(now);
+        let lease = self.permissions.remove(place);
         let probed = lease
             .filter(|(_, until)| now < *until)
             .map(|(probed, _)| probed);
@@ -137,7 +137,7 @@
     #[must_use]
     pub fn is_suspect(&self, now: duration::Instant, fingerprint: &str) -> bool {
         let since = self.suspects.get(fingerprint);
-        since.is_some_and(|since| now.since(*since) < SUSPICION)
+        since.is_some_and(|since| now.since(*since) < SUSPICION_DURATION)
     }
 
     /// Notes that the leader lets a suspect run there until then, and no other.
@@ -147,15 +147,15 @@
         fingerprint: &SmolStr,
         until: duration::Instant,
     ) {
-        self.leases
+        self.permissions
             .insert(place.clone(), (fingerprint.clone(), until));
     }
 
     /// Notes that a suspect runs there no longer.
     pub fn release_permission(&mut self, place: &Incarnation, fingerprint: &str) {
-        let held = self.leases.get(place);
+        let held = self.permissions.get(place);
         if held.is_some_and(|(holder, _)| holder == fingerprint) {
-            self.leases.remove(place);
+            self.permissions.remove(place);
         }
     }
 
@@ -164,7 +164,7 @@
         for fingerprint in fingerprints {
             self.suspects.insert(fingerprint.clone(), now);
         }
-        self.forget(now);
+        self.drop_expired(now);
     }
 
     /// Whether this life of the endpoint is known to be over.
@@ -189,11 +189,12 @@
         running.any(|(_, other)| other != fingerprint && self.is_suspect(now, other))
     }
 
-    fn forget(&mut self, now: duration::Instant) {
+    fn drop_expired(&mut self, now: duration::Instant) {
         self.suspects
-            .retain(|_, since| now.since(*since) < SUSPICION);
-        self.dead.retain(|_, since| now.since(*since) < SUSPICION);
-        while self.suspects.len() > MOST_SUSPECTS {
+            .retain(|_, since| now.since(*since) < SUSPICION_DURATION);
+        self.dead
+            .retain(|_, since| now.since(*since) < SUSPICION_DURATION);
+        while self.suspects.len() > MAX_SUSPECTS {
             let oldest = self.suspects.iter().min_by_key(|(_, since)| **since);
             let Some(oldest) = oldest.map(|(fingerprint, _)| fingerprint.clone()) else {
                 return;
--- a/crates/cranberrygap-policy/src/retry.rs
+++ b/crates/cranberrygap-policy/src/retry.rs
@@ -7,21 +7,21 @@
 use crate::outcome::Outcome;
 
 /// Dispatches of one request at most, the first one included.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_DISPATCHES: u32 = 3;
 
 /// Longest wait before the first retry; it doubles with each further one.
-const FIRST_WAIT: duration::Span = duration::Span::from_millis(20);
+const MAX_FIRST_BACKOFF: duration::Span = duration::Span::from_millis(20);
 
 /// Longest wait before any retry, well below the time to the first token that
 /// callers hope for.
-const LONGEST_WAIT: duration::Span = duration::Span::from_millis(160);
+const MAX_BACKOFF: duration::Span = duration::Span::from_millis(160);
 
 /// Cost of one retry in the budget's unit.
-const RETRY: u64 = 1_000;
+const RETRY_COST: u64 = 1_000;
 
 /// Retries that may be saved up. Lets the requests that ran on one lost
 /// endpoint be retried together, and no more than about one endpoint's worth.
-const MOST_SAVED: u64 = 64 * RETRY;
+const MAX_SAVED: u64 = 64 * RETRY_COST;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -85,7 +85,7 @@
     pub fn new(share: f64) -> Self {
         let mut budget = Self {
             share: 0,
-            saved: MOST_SAVED,
+            saved: MAX_SAVED,
         };
         budget.set_share(share);
         budget
@@ -98,13 +98,13 @@
             clippy::cast_sign_loss,
             reason = "clamped to 0 to 1 before"
         )]
-        let share = (share.clamp(0.0, 1.0) * RETRY as f64) as u64;
+        let share = (share.clamp(0.0, 1.0) * RETRY_COST as f64) as u64;
         self.share = share;
     }
 
     /// Counts a request, which earns its share of a retry.
     pub fn record_request(&mut self) {
-        self.saved = (self.saved + self.share).min(MOST_SAVED);
+        self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
 
     /// Decides on a dispatch that was not answered; takes from the budget when it
@@ -118,30 +118,30 @@
         if attempt.class == Class::AtMostOnce && attempt.outcome != Outcome::NotRun {
             return Decision::GiveUp(Reason::MayHaveRun);
         }
-        if attempt.dispatches >= MOST_ATTEMPTS {
+        if attempt.dispatches >= MAX_DISPATCHES {
             return Decision::GiveUp(Reason::AttemptsExhausted);
         }
-        let wait = wait(attempt.dispatches, random);
-        if now.after(wait) >= attempt.deadline {
+        let backoff = backoff(attempt.dispatches, random);
+        if now.after(backoff) >= attempt.deadline {
             return Decision::GiveUp(Reason::DeadlineExceeded);
         }
-        if self.saved < RETRY {
+        if self.saved < RETRY_COST {
             return Decision::GiveUp(Reason::BudgetExhausted);
         }
-        self.saved -= RETRY;
-        Decision::Retry(wait)
+        self.saved -= RETRY_COST;
+        Decision::Retry(backoff)
     }
 
     /// Whole retries that are saved up.
     #[must_use]
     pub const fn saved(&self) -> u64 {
-        self.saved / RETRY
+        self.saved / RETRY_COST
     }
 }
 
 /// Full jitter: requests that failed together do not come back together.
-fn wait(dispatches: u32, random: &mut impl Rng) -> duration::Span {
+fn backoff(dispatches: u32, random: &mut impl Rng) -> duration::Span {
     let doublings = dispatches.saturating_sub(1).min(16);
-    let longest = (FIRST_WAIT.0 << doublings).min(LONGEST_WAIT.0);
+    let longest = (MAX_FIRST_BACKOFF.0 << doublings).min(MAX_BACKOFF.0);
     duration::Span(random.random_range(0..=longest))
 }
--- a/crates/cranberrygap-policy/src/stream.rs
+++ b/crates/cranberrygap-policy/src/stream.rs
@@ -71,11 +71,11 @@
             return Decision::Skip;
         }
         match event {
-            Event::Token => self.token(),
-            Event::Finish => self.finish(),
-            Event::Usage => self.usage(),
-            Event::End => self.end(),
-            Event::Other => self.other(),
+            Event::Token => self.accept_token(),
+            Event::Finish => self.accept_finish(),
+            Event::Usage => self.accept_usage(),
+            Event::End => self.accept_end(),
+            Event::Other => self.accept_other(),
         }
     }
 
@@ -111,7 +111,7 @@
         &self.attempt
     }
 
-    fn token(&mut self) -> Decision {
+    fn accept_token(&mut self) -> Decision {
         // More tokens than were asked for come from an engine that began anew
         // instead of going on.
         if self.is_finished() || self.delivered >= self.limit {
@@ -122,7 +122,7 @@
         Decision::Deliver
     }
 
-    fn finish(&mut self) -> Decision {
+    fn accept_finish(&mut self) -> Decision {
         if self.is_finished() {
             return Decision::Skip;
         }
@@ -130,7 +130,7 @@
         Decision::Deliver
     }
 
-    fn usage(&mut self) -> Decision {
+    fn accept_usage(&mut self) -> Decision {
         if self.usage {
             return Decision::Skip;
         }
@@ -138,7 +138,7 @@
         Decision::Deliver
     }
 
-    fn end(&mut self) -> Decision {
+    fn accept_end(&mut self) -> Decision {
         // An end mark before the reason of the end is a cut answer that looks whole.
         if !self.is_finished() {
             return Decision::Broken;
@@ -147,7 +147,7 @@
         Decision::Deliver
     }
 
-    fn other(&mut self) -> Decision {
+    fn accept_other(&mut self) -> Decision {
         // A resumed engine announces its role once more.
         if self.stage != Stage::Opening {
             return Decision::Skip;
--- a/crates/cranberrygap-policy/tests/fair_queues.rs
+++ b/crates/cranberrygap-policy/tests/fair_queues.rs
@@ -120,7 +120,10 @@
     };
     let refused = queue.push(at(2_500), hurried).expect("it is refused");
 
-    assert_eq!((refused.ticket, refused.reason), (500, Reason::Hopeless));
+    assert_eq!(
+        (refused.ticket, refused.reason),
+        (500, Reason::DeadlineUnreachable)
+    );
     assert!(
         refused.retry_after > duration::Span::from_secs(1),
         "{refused:?}"
@@ -142,7 +145,10 @@
     let late = queue.expire(at(10));
 
     assert_eq!(late.len(), 1);
-    assert_eq!((late[0].ticket, late[0].reason), (1, Reason::Late));
+    assert_eq!(
+        (late[0].ticket, late[0].reason),
+        (1, Reason::DeadlinePassed)
+    );
     assert_eq!(queue.len(), 1);
 }
 
--- a/crates/cranberrygap-policy/tests/limits_shares.rs
+++ b/crates/cranberrygap-policy/tests/limits_shares.rs
@@ -158,7 +158,7 @@
 
     let answer = granter.renew(at(802), &first);
 
-    assert_eq!(answer, Err(granter::Error::Late(number::Sequence(1))));
+    assert_eq!(answer, Err(granter::Error::Superseded(number::Sequence(1))));
 }
 
 // An entry is cut off from the leader. It must stop by itself before the leader
