--- a/crates/cranberrygap-bench/src/soak/demand/lending.rs
+++ b/crates/cranberrygap-bench/src/soak/demand/lending.rs
@@ -178,7 +178,7 @@
         let spent = cost::granting(question.demands.len() as u64);
         wire.spend(Place::Entry(number), Work::Renewal, spent);
         let entry = &mut self.entries[number];
-        entry.lending.answer(wire.clock(), question)
+        entry.lending.answer_loan_request(wire.clock(), question)
     }
 
     /// Takes what the leader handed to an entry to lend.
--- a/crates/cranberrygap-bench/src/soak/limits/world.rs
+++ b/crates/cranberrygap-bench/src/soak/limits/world.rs
@@ -279,7 +279,9 @@
 
     /// An entry answers what another one asks to borrow.
     fn lend(&mut self, from: usize, to: usize, question: &share::Renew) {
-        let answer = self.entries[to].lending.answer(self.now, question);
+        let answer = self.entries[to]
+            .lending
+            .answer_loan_request(self.now, question);
         if let Some(answer) = answer {
             self.exchange(from, to, Message::Lent(from, to, question.boot, answer));
         }
--- a/crates/cranberrygap-control/tests/limits_takeover.rs
+++ b/crates/cranberrygap-control/tests/limits_takeover.rs
@@ -125,7 +125,7 @@
             spent += admitted(&mut own, now) + admitted(&mut other, now);
         }
         for (_, question) in own.due_loan_requests(now) {
-            let granted = lending.answer(now, &question).unwrap();
+            let granted = lending.answer_loan_request(now, &question).unwrap();
             own.apply_loans(now, &name("lender"), &granted);
         }
     }
--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -186,7 +186,7 @@
         let mut inner = self.inner.lock();
         for (lender, question) in inner.holder.due_loan_requests(now) {
             if lender == *own {
-                let answer = inner.lending.answer(now, &question);
+                let answer = inner.lending.answer_loan_request(now, &question);
                 if let Some(answer) = answer {
                     inner.holder.apply_loans(now, own, &answer);
                 }
@@ -213,7 +213,7 @@
         if !known {
             return None;
         }
-        inner.lending.answer(now, question)
+        inner.lending.answer_loan_request(now, question)
     }
 
     /// Takes what the entry at `from` lends.
--- a/crates/cranberrygap-policy/src/limits.rs
+++ b/crates/cranberrygap-policy/src/limits.rs
@@ -1,11 +1,11 @@
-//! Rate and burst of each workspace, kept over all entries together by leased shares.
+//! Rate limits of workspaces, enforced across all entries through leased shares.
 //!
-//! Each workspace has one token bucket. The leader's [`granter::Granter`] keeps
-//! the pool and gives parts of rate and burst to entries as leases; each entry
-//! admits requests from its [`holder::Holder`]. So that no request waits for the leader,
-//! the pool goes as one large share to an entry of the leader's choice, whose
-//! [`lending::Lender`] lends from it to the others. Tokens move between pool and
-//! shares and are never made: over any window of length `t` all entries
+//! Each workspace has one token bucket. On the leader, [`granter::Granter`] keeps the pool of
+//! tokens that no entry has and leases shares of the rate and burst to entries; each entry
+//! admits requests from its [`holder::Holder`]. To keep the leader out of the request path,
+//! it leases the pool as one large share to an entry that it selects (see [`assignment`]),
+//! whose [`lending::Lender`] lends tokens to the other entries. Tokens move between the pool,
+//! shares and loans and are never created: over any window of length `t`, all entries
 //! together admit at most `rate * t + burst`.
 
 pub mod amount;
@@ -27,17 +27,18 @@
 
 use cranberrygap_model::{duration, token};
 
-/// Time for which a share holds, counted by its holder from sending the renewal.
-/// Longer than an election, so that entries go on through a change of the leader.
+/// Duration of the lease on a share, counted by its holder from when it sends the renewal.
+///
+/// Longer than an election, so that entries keep admitting through a change of leader.
 pub const LEASE_DURATION: duration::Span = duration::Span::from_secs(3);
 
 /// Time between two renewals of an entry that is not short of tokens.
 pub const RENEWAL_INTERVAL: duration::Span = duration::Span::from_millis(250);
 
-/// Rate and burst of one workspace as configured.
+/// Configured rate and burst of one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: token::Rate,
     /// Most tokens that may be spent at once.
     pub burst: token::Count,
--- a/crates/cranberrygap-policy/src/limits/assignment.rs
+++ b/crates/cranberrygap-policy/src/limits/assignment.rs
@@ -1,4 +1,4 @@
-//! Which entry lends the tokens of which workspace.
+//! Assignment of workspaces to the entries that lend their tokens.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
@@ -6,14 +6,15 @@
 use cranberrygap_model::id;
 use cranberrygap_wire::view;
 
-/// Entries that can lend, and whether they take callers now.
+/// Entries that can lend, with whether each one accepts callers now.
 pub type Candidates = BTreeMap<id::Instance, bool>;
 
-/// What has to change so that each workspace has a lender that can lend.
+/// Returns the changes after which each workspace has a lender that can lend.
 ///
-/// A lender stays for as long as it can: each change costs its workspace the time in which
-/// tokens move. A new one is among those that lend for the fewest workspaces, so that the work
-/// of each entry follows the workspaces rather than the fleet.
+/// A workspace keeps its lender for as long as that entry can lend, because tokens take time
+/// to move after a change. A new lender is one of the entries that lend for the fewest
+/// workspaces, so that the work of each entry depends on the number of workspaces rather than
+/// the size of the fleet.
 pub fn changes<'all>(
     workspaces: impl IntoIterator<Item = &'all id::Workspace>,
     chosen: &BTreeMap<id::Workspace, id::Instance>,
@@ -37,22 +38,22 @@
         let eligible = candidates
             .iter()
             .filter(|(instance, active)| **active && Some(*instance) != current);
-        let next = eligible.min_by_key(|(instance, _)| {
+        let replacement = eligible.min_by_key(|(instance, _)| {
             let count = workspace_counts.get(instance).copied().unwrap_or_default();
             (count, tie_break(workspace, instance))
         });
-        let next = next.map(|(instance, _)| instance);
-        if next.is_none() && current.is_some_and(|lender| candidates.contains_key(lender)) {
-            // It may come back; nobody else could lend.
+        let replacement = replacement.map(|(instance, _)| instance);
+        if replacement.is_none() && current.is_some_and(|lender| candidates.contains_key(lender)) {
+            // The lender may recover, and no other entry can lend.
             continue;
         }
-        if let Some(next) = next {
-            *workspace_counts.entry(next).or_default() += 1;
+        if let Some(replacement) = replacement {
+            *workspace_counts.entry(replacement).or_default() += 1;
         }
-        if next != current {
+        if replacement != current {
             changes.push(view::Lender {
                 workspace: workspace.clone(),
-                instance: next.cloned(),
+                instance: replacement.cloned(),
             });
         }
     }
@@ -64,7 +65,7 @@
     changes
 }
 
-/// Spreads workspaces over entries alike.
+/// Returns a hash that breaks ties between entries differently for each workspace.
 fn tie_break(workspace: &id::Workspace, instance: &id::Instance) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.hash(&mut hasher);
--- a/crates/cranberrygap-policy/src/limits/bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket.rs
@@ -1,4 +1,4 @@
-//! One workspace's bucket at the leader: the pool and the shares taken out of it.
+//! Token bucket of one workspace at the leader: the pool and the shares taken out of it.
 
 mod delegation;
 mod share_table;
@@ -14,49 +14,62 @@
 use delegation::Delegation;
 use share_table::ShareTable;
 
-/// Part of the rate that no share ever gets: clocks of two instances differ by
-/// up to some hundred millionths, and a holder whose clock is fast would accrue
-/// more than its rate. One in this many is kept back against that.
+/// Divisor of the rate for the part that no share ever gets.
+///
+/// Clocks of two instances differ by up to some hundred millionths, and a holder with a fast
+/// clock would accrue more than its rate. This part compensates for it.
 const CLOCK_DRIFT_DIVISOR: u64 = 2_000;
 
-/// Part of the lease that the leader waits longer than the holder, for the same reason.
+/// Divisor of the lease for the time that the leader waits longer than the holder.
+///
+/// Clocks of two instances differ, as for `CLOCK_DRIFT_DIVISOR`.
 const LEASE_MARGIN_DIVISOR: u64 = 64;
 
-/// Part of the rate, in tenths, that shares get at most. The rest accrues in
-/// the pool, from where an entry with new demand gets tokens at once.
+/// Tenths of the rate that shares get at most.
+///
+/// The rest accrues in the pool, from where an entry with new demand gets tokens at once.
 const MAX_SHARED_TENTHS: u64 = 9;
 
-/// Part of its entry's demand that a share gets as a rate of its own. What
-/// accrues in a full share is lost; what accrues in the pool goes to whoever is
-/// short. The own part carries the entry through a time without a leader.
+/// Fraction of its entry's demand that a share gets as its own rate.
+///
+/// Tokens that accrue in a full share are lost, while those that accrue in the pool go to
+/// whichever entry is short. The share's own rate carries the entry through a time without a
+/// leader.
 const SHARE_DEMAND_FRACTION: f64 = 0.5;
 
-/// Time of its demand that a share may hold. Space in it is what refunds need:
-/// in shorter ones more of them were lost, in longer ones more tokens were out
-/// of the other entries' reach (`measure limits`).
+/// Duration of an entry's demand whose tokens its share may hold.
+///
+/// Refunds need free space in the share: with a shorter duration more of them were lost, with
+/// a longer one more tokens were out of the other entries' reach (`measure limits`).
 const STOCK_DURATION: duration::Span = duration::Span::from_millis(2_000);
 
-/// How many times as much an entry must be able to hold before it gets a share of its own
-/// where another entry lends. Requests of several sizes would have it come and go.
+/// Factor on `MIN_STOCK_REQUESTS` for an entry's first share, where another entry lends.
+///
+/// Without it, requests of several sizes would make shares come and go.
 const FIRST_SHARE_FACTOR: f64 = 2.0;
 
-/// Part of the burst that shares hold for their demand, all together. The rest stays
-/// in the pool for whoever is short.
+/// Fraction of the burst that all shares together hold for their demand.
+///
+/// The rest stays in the pool for entries that are short of tokens.
 const MAX_STOCKED_FRACTION: f64 = 0.4;
 
-/// Usual requests that a share must be able to hold; one that holds less is none.
+/// Number of typical requests that a share must be able to hold; a smaller one is not granted.
 ///
-/// What accrues in a share too small for a request is lost to everybody: of a rate of
-/// 4,200 tokens a second, spread over 9 entries, a fifth of requests at 0.55 of the rate
-/// were refused (`limits_unequal`). Such a workspace's tokens stay in the pool and are lent.
+/// Tokens that accrue in a share too small for a request are lost to everybody: at a rate of
+/// 4,200 tokens per second, spread over 9 entries, a fifth of requests at 0.55 of the rate
+/// were refused (`limits_unequal`). The tokens of such a workspace stay in the pool and are
+/// lent.
 const MIN_STOCK_REQUESTS: f64 = 2.0;
 
-/// A share is left as it is while its target is within this part of it, because
-/// each change is an entry in the replicated log.
+/// Fraction by which the target rate may differ from a share's rate before the share changes.
+///
+/// Each change is an entry in the replicated log.
 const RATE_TOLERANCE: f64 = 0.25;
 
-/// The same for the cap. A share that shrinks cuts the refunds of what runs, so
-/// caps change only when demand has really moved.
+/// Fraction by which the target cap may differ from a share's cap before the share changes.
+///
+/// A share that shrinks limits the refunds of running requests, so caps change only after a
+/// large change of demand.
 const CAP_TOLERANCE: f64 = 0.5;
 
 /// Rate and cap under a share number.
@@ -69,19 +82,19 @@
 
 #[derive(Debug, Clone, Default)]
 struct Share {
-    /// What the holder said that it has.
+    /// Terms that the holder reported.
     held: ShareTerms,
-    /// What it has as well if the last answer arrived.
+    /// Terms that the holder also has if the last answer arrived.
     offered: ShareTerms,
-    /// What the log says that it may have.
+    /// Rate and cap that the log allows the holder.
     logged: (FixedRate, Amount),
-    /// Taken over from the log; the holder has not reported yet.
+    /// Whether the share was read from the log and its holder has not reported yet.
     inherited: bool,
     lease_end: duration::Instant,
     demand: f64,
-    /// Cost of a usual request of late.
+    /// Recent cost of a typical request.
     typical_cost: f64,
-    /// Rate and cap that its entry's demand asks for.
+    /// Rate and cap that the entry's demand calls for.
     desired: (FixedRate, Amount),
 }
 
@@ -123,8 +136,10 @@
         bucket
     }
 
-    /// Takes a new rate and burst. Shares above them shrink at their next
-    /// renewals, so a smaller limit holds after one lease at the latest.
+    /// Sets the rate and burst.
+    ///
+    /// Shares above them shrink at their next renewals, so a smaller limit holds after one
+    /// lease at the latest.
     pub(super) fn configure(&mut self, now: duration::Instant, limit: Limit) {
         self.accrue(now);
         let rate = FixedRate::from_rate(limit.rate);
@@ -133,12 +148,12 @@
         self.cap_pool();
     }
 
-    /// Takes over who lends in place of the leader.
+    /// Sets the entry that lends in place of the leader.
     pub(super) fn set_lender(&mut self, lender: Option<&id::Instance>) {
         self.delegation.set_lender(lender);
     }
 
-    /// A process has ended, so that it renews no more; what it lent ends with its loans.
+    /// Shortens the lease of a process that has ended and renews no more, to the end of its loans.
     pub(super) fn record_process_end(&mut self, now: duration::Instant, owner: &Owner) {
         let end = loan_issuer::loans_end(now);
         if self.shares.get(owner).is_some() {
@@ -147,44 +162,44 @@
         }
     }
 
-    /// Fills the pool. Only right for a workspace that never had a share.
+    /// Fills the pool; only correct for a workspace that never had a share.
     pub(super) fn fill(&mut self) {
         self.pool = self.burst;
         self.cap_pool();
     }
 
-    /// Takes over what an earlier leader promised to keep in the pool.
+    /// Adds the tokens that an earlier leader guaranteed to keep in the pool.
     pub(super) fn restore_guarantee(&mut self, logged: &share::Allocation) {
-        let kept = Amount::from_count(logged.cap);
+        let guaranteed = Amount::from_count(logged.cap);
         let guaranteed_limit = (logged.rate, logged.share);
-        self.guarantee.logged_amount = kept;
+        self.guarantee.logged_amount = guaranteed;
         if guaranteed_limit != (self.rate.to_rate(), self.burst.floor().0) {
             return;
         }
-        self.guarantee.amount = kept;
-        self.pool = self.pool.plus(kept);
+        self.guarantee.amount = guaranteed;
+        self.pool = self.pool.plus(guaranteed);
         self.cap_pool();
     }
 
-    /// Starts empty, and accrues once all that an earlier leader lent has ended.
+    /// Starts with an empty pool that accrues once all loans of an earlier leader have ended.
     ///
-    /// Loans are not in the log. One that is spent after the election would come on top
-    /// of what the new pool has gathered, and a caller would get more than the burst.
+    /// Loans are not in the log. A loan spent after the election would add to what the new
+    /// pool has accrued, and a caller would get more than the burst.
     pub(super) fn start_after_predecessor(&mut self, now: duration::Instant) {
         self.accrued_at = loan_issuer::loans_end(now);
     }
 
-    /// Takes over a share from the log as if it had been renewed just now.
+    /// Adds a share from the log as if it had been renewed just now.
     pub(super) fn inherit_share(&mut self, now: duration::Instant, logged: &share::Allocation) {
-        let part = ShareTerms {
+        let terms = ShareTerms {
             number: logged.share,
             rate: FixedRate::from_rate(logged.rate),
             cap: Amount::from_count(logged.cap),
         };
         let share = Share {
-            held: part,
-            offered: part,
-            logged: (part.rate, part.cap),
+            held: terms,
+            offered: terms,
+            logged: (terms.rate, terms.cap),
             inherited: true,
             lease_end: lease_end(now),
             ..Share::default()
@@ -194,7 +209,7 @@
         self.cap_pool();
     }
 
-    /// Answers one demand; `next` numbers a share that changes.
+    /// Answers one demand; `next` is the number for a share that changes.
     pub(super) fn renew(
         &mut self,
         now: duration::Instant,
@@ -235,7 +250,7 @@
         }
     }
 
-    /// Lends what an entry waits for, if it is its turn, or says when it may be.
+    /// Lends the tokens that an entry waits for, or returns the times after which it may get them.
     fn lend(
         &mut self,
         now: duration::Instant,
@@ -250,7 +265,7 @@
             rate: self.rate.minus(self.shared_rate()),
             accrues_from: self.accrued_at,
             burst: self.burst,
-            // Where another entry lends, only who does not reach it borrows here.
+            // Where another entry lends, only entries that cannot reach it borrow here.
             lends_in_advance: !self.delegation.has_lender(),
         };
         let offer = self.loans.serve(now, owner, demand, &supply);
@@ -262,28 +277,28 @@
             self.delegation
                 .reserve_direct(now, direct_demand, waiting, (self.rate, self.burst));
             if supply.rate == FixedRate::ZERO {
-                // The tokens are with the entry that lends; what it hands back comes any time.
+                // The lender has the tokens and may return some at any time.
                 return (duration::Span(0), duration::Span(0), offer.lent.floor());
             }
         }
         (offer.first_wait, offer.total_wait, offer.lent.floor())
     }
 
-    /// Demand of the entries that wait for the leader's tokens.
+    /// Returns the demand of the entries that wait for the leader's tokens.
     fn direct_demand(&self) -> f64 {
-        let askers = self.loans.waiting_owners();
-        let known = askers.filter_map(|owner| self.shares.get(owner));
+        let waiting = self.loans.waiting_owners();
+        let known = waiting.filter_map(|owner| self.shares.get(owner));
         known.map(|share| share.demand).sum()
     }
 
-    /// Whether entries with most of the demand do not reach the one that lends.
+    /// Returns whether entries with most of the demand cannot reach the lender.
     pub(super) fn is_lender_unreachable(&self) -> bool {
-        let all = self.shares.demand();
+        let total_demand = self.shares.demand();
         self.delegation
-            .is_lender_unreachable(self.direct_demand(), all)
+            .is_lender_unreachable(self.direct_demand(), total_demand)
     }
 
-    /// Drops shares whose lease has run out for certain; their tokens are spent.
+    /// Drops shares whose lease has certainly run out; their tokens count as spent.
     pub(super) fn expire(&mut self, now: duration::Instant) {
         self.loans.expire(now);
         self.accrue(now);
@@ -298,10 +313,9 @@
         }
     }
 
-    /// Allocations that differ from the log; they count as logged from now on.
+    /// Returns the allocations that differ from the log, which count as logged from now on.
     ///
-    /// Shrunk shares come first, so that no prefix of the log adds up to more
-    /// than the limit.
+    /// Shrunk shares come first, so that no prefix of the log adds up to more than the limit.
     pub(super) fn take_unlogged(&mut self, workspace: &id::Workspace) -> Vec<share::Allocation> {
         let mut smaller = Vec::new();
         let mut larger = Vec::new();
@@ -340,12 +354,12 @@
         smaller
     }
 
-    /// Sum of the rates and caps that holders may have, and the pool.
+    /// Returns the sums of the rates and caps that holders may have, and the pool.
     pub(super) fn totals(&self) -> (FixedRate, Amount, Amount) {
         (self.shared_rate(), self.shared_cap(), self.pool)
     }
 
-    /// Who may have a share for now.
+    /// Returns the owners that may currently have a share.
     pub(super) fn owners(&self) -> impl Iterator<Item = &Owner> {
         self.shares.owners()
     }
@@ -377,10 +391,10 @@
         self.shares.cap()
     }
 
-    /// Takes the reported share number as evidence of what the holder has.
+    /// Updates a share from the share number that its holder reports.
     ///
-    /// A holder ignores answers to all but its last renewal, so it has just this
-    /// share until the answer to this renewal arrives.
+    /// A holder ignores answers to all but its last renewal, so it has exactly this share
+    /// until the answer to this renewal arrives.
     fn confirm_share(&mut self, owner: &Owner, demand: &share::Demand) {
         let lends = owner.lends;
         let lent_tokens = Amount::from_count(demand.lent);
@@ -397,7 +411,8 @@
                 share.held = share.offered;
             }
             if lends {
-                // What it has lent may be spent until it ends, also when its share is smaller.
+                // Tokens that it has lent may be spent until their loans end, also when its
+                // share shrinks.
                 share.held.cap = share.held.cap.max(lent_tokens.min(before));
             }
             share.inherited = false;
@@ -405,14 +420,14 @@
             (was_open, is_known)
         });
         self.cap_pool();
-        // Tokens of a share that was given up here count as spent already.
+        // Tokens of a share that was closed here already count as spent.
         if was_open && is_known {
             self.pool = self.pool.plus(Amount::from_count(demand.returned));
         }
         if !lends {
             let unlent = Amount::from_count(demand.unlent);
-            let back = self.loans.confirm_loans(owner, lent_tokens, unlent);
-            self.pool = self.pool.plus(back);
+            let returned = self.loans.confirm_loans(owner, lent_tokens, unlent);
+            self.pool = self.pool.plus(returned);
             self.cap_pool();
         }
     }
@@ -424,40 +439,40 @@
         });
     }
 
-    /// Rate and cap that the share is to have from now on.
+    /// Returns the rate and cap that the share gets from now on.
     fn target_terms(&mut self, now: duration::Instant, owner: &Owner) -> ShareTerms {
         let Some(share) = self.shares.get(owner) else {
             return ShareTerms::default();
         };
         let held = share.held;
-        let rate = self.rate.minus(self.shared_rate().minus(share.rate()));
-        let cap = self.burst.minus(self.shared_cap().minus(share.cap()));
-        // Loans of the leader may be spent beside all shares.
+        let max_rate = self.rate.minus(self.shared_rate().minus(share.rate()));
+        let available_cap = self.burst.minus(self.shared_cap().minus(share.cap()));
+        // Loans of the leader may be spent in addition to all shares.
         let loans = if now < self.accrued_at {
             self.burst
         } else {
             self.loans.outstanding()
         };
-        let max_cap = cap.minus(loans).max(held.cap.min(cap));
-        let wanted = if owner.lends {
+        let max_cap = available_cap.minus(loans).max(held.cap.min(available_cap));
+        let desired = if owner.lends {
             let limits = (self.rate, self.burst);
             let held_terms = (held.rate, held.cap);
-            let wanted = self.shares.desired();
+            let desired = self.shares.desired();
             self.delegation
-                .target_terms(now, owner, limits, wanted, held_terms)
+                .target_terms(now, owner, limits, desired, held_terms)
         } else {
-            let wanted = self.desired_terms(share);
-            self.shares.update(owner, |share| share.desired = wanted);
-            wanted
+            let desired = self.desired_terms(share);
+            self.shares.update(owner, |share| share.desired = desired);
+            desired
         };
         ShareTerms {
             number: held.number,
-            rate: wanted.0.min(rate),
-            cap: Amount::from_count(wanted.1.min(max_cap).floor()),
+            rate: desired.0.min(max_rate),
+            cap: Amount::from_count(desired.1.min(max_cap).floor()),
         }
     }
 
-    /// Rate and cap that an entry's demand asks for.
+    /// Returns the rate and cap that an entry's demand calls for.
     fn desired_terms(&self, share: &Share) -> (FixedRate, Amount) {
         let share_demand = self.shares.demand() * SHARE_DEMAND_FRACTION;
         let sharable = self.rate.0 / 10 * MAX_SHARED_TENTHS;
@@ -473,8 +488,8 @@
         if stock < share.typical_cost.max(1.0) * min_requests {
             return (FixedRate::ZERO, Amount::ZERO);
         }
-        let wanted = share.demand * SHARE_DEMAND_FRACTION * scale;
-        let rate = with_hysteresis(previous.0.to_rate().0, wanted, RATE_TOLERANCE);
+        let desired_rate = share.demand * SHARE_DEMAND_FRACTION * scale;
+        let rate = with_hysteresis(previous.0.to_rate().0, desired_rate, RATE_TOLERANCE);
         let cap = with_hysteresis(previous.1.as_f64(), stock, CAP_TOLERANCE);
         (
             FixedRate::from_rate(token::Rate(rate)),
@@ -482,18 +497,18 @@
         )
     }
 
-    /// Tokens that a share may hold for its demand.
+    /// Returns the tokens that a share may hold for its demand.
     ///
-    /// What shares may hold is not there for the pool. With a burst of about a
-    /// second's rate, shares for two seconds of demand left no room for the pool, and
-    /// all that accrued there was lost: workspaces at half their rate were refused.
+    /// The pool cannot hold what shares may hold. With a burst of about one second's rate,
+    /// shares for two seconds of demand left no space for the pool, and all tokens that
+    /// accrued there were lost: workspaces at half their rate were refused.
     fn target_stock(&self, share: &Share) -> f64 {
-        let part = share.demand / self.shares.demand().max(1.0);
-        let fair_part = self.burst.as_f64() * MAX_STOCKED_FRACTION * part;
-        fair_part.min(share.demand * STOCK_DURATION.as_secs_f64())
+        let demand_fraction = share.demand / self.shares.demand().max(1.0);
+        let fair_stock = self.burst.as_f64() * MAX_STOCKED_FRACTION * demand_fraction;
+        fair_stock.min(share.demand * STOCK_DURATION.as_secs_f64())
     }
 
-    /// Moves tokens from the pool into space that the holder keeps free.
+    /// Moves tokens from the pool into the space that the holder keeps free.
     fn move_tokens(
         &mut self,
         owner: &Owner,
@@ -505,7 +520,7 @@
         let free_space = Amount::from_count(demand.room).plus(growth);
         let shrinks = offered.cap < held.cap;
         let max_tokens = if shrinks { Amount::ZERO } else { free_space };
-        // Those in line come first.
+        // Waiting entries come first.
         let free = self.pool.minus(self.loans.tokens_ahead(owner));
         let tokens = free.min(max_tokens).floor();
         self.pool = self.pool.minus(Amount::from_count(tokens));
@@ -519,7 +534,7 @@
         .after(duration::Span(LEASE_DURATION.0 / LEASE_MARGIN_DIVISOR))
 }
 
-/// The old value while the new one is close to it, else the new one.
+/// Returns the old value while the new one is within the tolerance, otherwise the new one.
 fn with_hysteresis(old: f64, new: f64, tolerance: f64) -> f64 {
     if new < 1.0 {
         return 0.0;
--- a/crates/cranberrygap-policy/src/limits/bucket/delegation.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket/delegation.rs
@@ -1,43 +1,46 @@
-//! The entry that lends in place of the leader, and what is left for it.
+//! Delegation of a bucket's pool to the entry that lends, and the part that the leader keeps.
 
 use cranberrygap_model::{duration, id, token};
 
 use super::super::amount::{self, Amount, FixedRate};
 use super::super::owner::Owner;
 
-/// Part of rate and burst, as a divisor, by which more is kept for shares than their demand
-/// asks for, and twice that before the entry that lends gets it back. Each change of what it
-/// lends is an entry in the log and two renewals.
+/// Divisor of rate and burst for one step of the part that is kept for shares.
+///
+/// The leader keeps one step more than shares need, and returns tokens to the lender once it
+/// keeps two steps too many. Each change of what is lent is an entry in the log and two
+/// renewals.
 const RESERVE_STEP_DIVISOR: u64 = 32;
 
-/// Time for which a part is kept here for entries that do not reach the one that lends,
-/// after the last of them asked.
+/// Time for which a part is kept for entries that cannot reach the lender.
+///
+/// Counted from the last request of such an entry.
 const DIRECT_RESERVE_DURATION: duration::Span = duration::Span::from_secs(5);
 
-/// Steps in which more is kept for them.
+/// Number of steps in which the part kept for these entries grows.
 const DIRECT_RESERVE_STEPS: u64 = 8;
 
-/// Part of all demand from which on an entry that lends is taken for one that does not.
+/// Fraction of all demand, above which entries that cannot reach a lender make it unreachable.
 const UNREACHABLE_FRACTION: f64 = 0.5;
 
-/// Part of the demand of these entries that is kept for them.
+/// Factor on the demand of these entries for the part that is kept for them.
 const DIRECT_RESERVE_FACTOR: f64 = 1.5;
 
-/// Rate and tokens.
+/// Rate and number of tokens.
 pub(super) type RateAndTokens = (FixedRate, Amount);
 
-/// Who lends, and what the leader keeps from it.
+/// The lender of a bucket, and what the leader keeps back from it.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Delegation {
     lender: Option<id::Instance>,
-    /// For entries that ask the leader though another one lends: they do not reach it.
+    /// Part kept for entries that ask the leader because they cannot reach the lender.
     direct_reserve: RateAndTokens,
-    /// Until when that is kept.
+    /// Time until which `direct_reserve` is kept.
     direct_reserve_end: duration::Instant,
 }
 
 impl Delegation {
-    /// Takes over who lends; nobody has asked past a new one.
+    /// Sets the lender; nothing is kept for entries that cannot reach a new one.
     pub(super) fn set_lender(&mut self, lender: Option<&id::Instance>) {
         if self.lender.as_ref() != lender {
             *self = Self {
@@ -47,12 +50,12 @@
         }
     }
 
-    /// Whether an entry lends.
+    /// Returns whether an entry lends.
     pub(super) const fn has_lender(&self) -> bool {
         self.lender.is_some()
     }
 
-    /// Keeps a part for entries with so much demand that ask for `waiting` tokens here.
+    /// Keeps a part for entries with this demand that ask the leader for `waiting` tokens.
     pub(super) fn reserve_direct(
         &mut self,
         now: duration::Instant,
@@ -60,21 +63,27 @@
         waiting: Amount,
         (rate, burst): RateAndTokens,
     ) {
-        let before = self.current_direct_reserve(now);
-        let part = demand * DIRECT_RESERVE_FACTOR;
-        let asked = FixedRate::from_rate(token::Rate(part)).min(rate);
-        let of_burst = burst.as_f64() * (part / rate.to_rate().0.max(1.0)).min(1.0);
-        let needed = Amount::from_count(amount::ceil_count(of_burst)).max(waiting.plus(waiting));
-        // In steps, since each change of what is lent is an entry in the log.
-        let step = |all: u64, part: u64| part.next_multiple_of((all / DIRECT_RESERVE_STEPS).max(1));
+        let previous = self.current_direct_reserve(now);
+        let kept_rate = demand * DIRECT_RESERVE_FACTOR;
+        let needed_rate = FixedRate::from_rate(token::Rate(kept_rate)).min(rate);
+        let burst_part = burst.as_f64() * (kept_rate / rate.to_rate().0.max(1.0)).min(1.0);
+        let needed_tokens =
+            Amount::from_count(amount::ceil_count(burst_part)).max(waiting.plus(waiting));
+        // The part grows in steps, since each change of what is lent is an entry in the log.
+        let round_up =
+            |limit: u64, part: u64| part.next_multiple_of((limit / DIRECT_RESERVE_STEPS).max(1));
         self.direct_reserve = (
-            FixedRate(step(rate.0, asked.0)).max(before.0).min(rate),
-            Amount(step(burst.0, needed.0)).max(before.1).min(burst),
+            FixedRate(round_up(rate.0, needed_rate.0))
+                .max(previous.0)
+                .min(rate),
+            Amount(round_up(burst.0, needed_tokens.0))
+                .max(previous.1)
+                .min(burst),
         );
         self.direct_reserve_end = now.after(DIRECT_RESERVE_DURATION);
     }
 
-    /// What is kept for entries that ask here.
+    /// Returns the part kept for entries that ask the leader.
     fn current_direct_reserve(&self, now: duration::Instant) -> RateAndTokens {
         if now < self.direct_reserve_end {
             self.direct_reserve
@@ -83,14 +92,14 @@
         }
     }
 
-    /// Whether entries with most of all demand do not reach the one that lends.
+    /// Returns whether entries with most of all demand cannot reach the lender.
     pub(super) fn is_lender_unreachable(&self, direct_demand: f64, total_demand: f64) -> bool {
         self.has_lender()
             && direct_demand >= 1.0
             && direct_demand > total_demand * UNREACHABLE_FRACTION
     }
 
-    /// What `owner` is to have of `all`, where shares want `wanted` and it has `held`.
+    /// Returns the part of `limits` for `owner`, where shares need `desired` and it has `held`.
     pub(super) fn target_terms(
         &self,
         now: duration::Instant,
@@ -112,8 +121,9 @@
     }
 }
 
-/// What of `all` can be lent when `wanted` is kept: as much as is lent now, while that leaves
-/// enough and not too much.
+/// Returns how much of `limit` can be lent when `desired` is kept for shares.
+///
+/// The result is what is lent now while that leaves enough and not too much.
 fn delegable(limit: u64, desired: u64, lent: u64) -> u64 {
     let step = limit / RESERVE_STEP_DIVISOR;
     let kept = limit.saturating_sub(lent);
--- a/crates/cranberrygap-policy/src/limits/bucket/share_table.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket/share_table.rs
@@ -1,4 +1,4 @@
-//! The shares of one bucket, with their sums.
+//! Shares of one bucket, with their sums.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,19 +8,21 @@
 use super::super::owner::Owner;
 use super::Share;
 
-/// Shares by holder. Sums are kept while shares change, so that a renewal costs the same
-/// however many entries there are.
+/// Shares by owner.
+///
+/// Sums are updated with each change of a share, so that a renewal costs the same for any
+/// number of entries.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ShareTable {
     shares: BTreeMap<Owner, Share>,
     rate: FixedRate,
     cap: Amount,
     demand: f64,
-    /// What the demand of all entries asks for.
+    /// Rate and cap that the demand of all entries calls for.
     desired: (FixedRate, Amount),
-    /// Shares that changed since the log was last told.
+    /// Owners of shares that changed since the last allocations for the log.
     changed: BTreeSet<Owner>,
-    /// No lease runs out before this.
+    /// Time before which no lease runs out.
     next_lease_end: Option<duration::Instant>,
 }
 
@@ -30,59 +32,62 @@
     }
 
     pub(super) fn owners(&self) -> impl Iterator<Item = &Owner> {
-        let live = self.shares.iter();
-        let live =
-            live.filter(|(_, share)| share.rate() > FixedRate::ZERO || share.cap() > Amount::ZERO);
-        live.map(|(owner, _)| owner)
+        let open = self.shares.iter();
+        let open =
+            open.filter(|(_, share)| share.rate() > FixedRate::ZERO || share.cap() > Amount::ZERO);
+        open.map(|(owner, _)| owner)
     }
 
     pub(super) fn len(&self) -> usize {
         self.shares.len()
     }
 
-    /// Sum of the rates that holders may have.
+    /// Returns the sum of the rates that holders may have.
     pub(super) const fn rate(&self) -> FixedRate {
         self.rate
     }
 
-    /// Sum of the caps that holders may have.
+    /// Returns the sum of the caps that holders may have.
     pub(super) const fn cap(&self) -> Amount {
         self.cap
     }
 
-    /// Tokens a second that callers ask for at all entries.
+    /// Returns the tokens per second that callers request at all entries.
     pub(super) const fn demand(&self) -> f64 {
         self.demand
     }
 
-    /// Rate and cap that the demand of all entries asks for.
+    /// Returns the rate and cap that the demand of all entries calls for.
     pub(super) const fn desired(&self) -> (FixedRate, Amount) {
         self.desired
     }
 
-    /// Changes the share of `owner`, an empty one if it has none.
+    /// Changes the share of `owner`, or a new empty one.
     pub(super) fn update<R>(&mut self, owner: &Owner, change: impl FnOnce(&mut Share) -> R) -> R {
         let share = self.shares.entry(owner.clone()).or_default();
         let before = (share.rate(), share.cap(), share.demand);
-        let wanted = share.desired;
+        let old_desired = share.desired;
         let result = change(share);
         let (rate, cap, demand) = before;
         self.desired = (
-            self.desired.0.minus(wanted.0).plus(share.desired.0),
-            self.desired.1.minus(wanted.1).plus(share.desired.1),
+            self.desired.0.minus(old_desired.0).plus(share.desired.0),
+            self.desired.1.minus(old_desired.1).plus(share.desired.1),
         );
         self.rate = self.rate.minus(rate).plus(share.rate());
         self.cap = self.cap.minus(cap).plus(share.cap());
         self.demand += share.demand - demand;
-        let until = share.lease_end;
-        self.next_lease_end = Some(self.next_lease_end.map_or(until, |due| due.min(until)));
+        let lease_end = share.lease_end;
+        self.next_lease_end = Some(
+            self.next_lease_end
+                .map_or(lease_end, |end| end.min(lease_end)),
+        );
         self.changed.insert(owner.clone());
         result
     }
 
-    /// Holders whose lease has run out at `now`.
+    /// Returns the owners whose lease has run out at `now`.
     pub(super) fn expired_owners(&mut self, now: duration::Instant) -> Vec<Owner> {
-        if self.next_lease_end.is_none_or(|due| now < due) {
+        if self.next_lease_end.is_none_or(|end| now < end) {
             return Vec::new();
         }
         let (expired, running): (Vec<_>, Vec<_>) = self
@@ -96,12 +101,12 @@
             .collect()
     }
 
-    /// Takes out the holders of changed shares, in order.
+    /// Removes and returns the owners of changed shares, in order.
     pub(super) fn take_changed(&mut self) -> BTreeSet<Owner> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Notes what the log says of a share, and drops it if neither log nor callers know it.
+    /// Records what the log says of a share; drops a share that is closed and has no demand.
     pub(super) fn record_logged(&mut self, owner: &Owner, logged: (FixedRate, Amount)) {
         let Some(share) = self.shares.get_mut(owner) else {
             return;
--- a/crates/cranberrygap-policy/src/limits/granter.rs
+++ b/crates/cranberrygap-policy/src/limits/granter.rs
@@ -1,4 +1,4 @@
-//! The leader's side: gives parts of each workspace's rate and burst to entries.
+//! Leader's side of the rate limits: leases shares of each workspace's rate and burst to entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use super::owner::Owner;
 use super::{LEASE_DURATION, Limit};
 
-/// Pools and shares of all workspaces during one leader's period of office.
+/// Pools and shares of all workspaces during one leader's term.
 #[derive(Debug, Clone)]
 pub struct Granter {
     term: number::Term,
@@ -26,26 +26,27 @@
     received_at: duration::Instant,
 }
 
-/// What came before a workspace's bucket.
+/// Whether an earlier leader may have granted from a workspace's bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// The workspace was added in this leader's period of office: no earlier
-    /// leader can have granted from its bucket, which starts full.
+    /// The workspace was added in this leader's term.
+    ///
+    /// No earlier leader can have granted from its bucket, which starts full.
     Added,
-    /// An earlier leader may have granted; its pool counts as spent.
+    /// An earlier leader may have granted; the pool counts as spent.
     Inherited,
 }
 
-/// What a renewal leads to.
+/// Result of a renewal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// Allocations to commit, in this order, before the answer may be sent.
+    /// Allocations to commit, in this order, before the answer is sent.
     pub allocations: Vec<share::Allocation>,
-    /// The answer for the entry.
+    /// Answer to the entry.
     pub granted: share::Granted,
 }
 
-/// Why a renewal gets no answer.
+/// Reason why a renewal gets no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// A later renewal of the same process was answered before.
@@ -53,10 +54,10 @@
     Superseded(number::Sequence),
 }
 
-/// State of one bucket for a dump.
+/// State of one bucket, for a dump.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// Whose bucket.
+    /// Workspace of the bucket.
     pub workspace: id::Workspace,
     /// Sum of the rates that holders may have.
     pub rate: token::Rate,
@@ -69,10 +70,10 @@
 }
 
 impl Granter {
-    /// The granter of a new leader, with every allocation that is in the log.
+    /// Creates the granter of a new leader from every allocation in the log.
     ///
-    /// A logged share may have been renewed just before the election and counts
-    /// as held until its lease has run out from now.
+    /// A logged share may have been renewed just before the election, so it counts as held
+    /// until a full lease from now has run out.
     #[must_use]
     pub fn new(
         now: duration::Instant,
@@ -98,7 +99,8 @@
                 bucket.inherit_share(now, allocation);
             }
         }
-        // What shares hold is known now, so that no promise counts beyond the burst.
+        // Guarantees are restored after all shares are known, so that none counts beyond the
+        // burst.
         for allocation in logged
             .iter()
             .filter(|logged| loan_issuer::is_guarantee(logged))
@@ -110,7 +112,7 @@
         granter
     }
 
-    /// Sets rate and burst of a workspace.
+    /// Sets the rate and burst of a workspace.
     pub fn configure(
         &mut self,
         now: duration::Instant,
@@ -130,16 +132,17 @@
         self.buckets.insert(workspace.clone(), bucket);
     }
 
-    /// Takes over which entry lends a workspace's tokens in place of this leader.
+    /// Sets the entry that lends a workspace's tokens in place of this leader.
     ///
-    /// It gets all of rate and burst that no share is to have, under a lease like theirs.
+    /// The lender is leased all of the rate and burst that no other share needs, on the same
+    /// terms as other shares.
     pub fn set_lender(&mut self, workspace: &id::Workspace, lender: Option<&id::Instance>) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.set_lender(lender);
         }
     }
 
-    /// A process of an entry has ended: its instance runs another one now.
+    /// Records that a process of an entry has ended because its instance runs another one now.
     pub fn record_process_end(
         &mut self,
         now: duration::Instant,
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Whether an entry may lend a workspace's tokens for now.
+    /// Returns whether an entry currently has a lease to lend a workspace's tokens.
     #[must_use]
     pub fn is_lender(&self, workspace: &id::Workspace, instance: &id::Instance) -> bool {
         let bucket = self.buckets.get(workspace);
@@ -166,14 +169,14 @@
         owners.any(|owner| owner.lends && owner.instance == *instance)
     }
 
-    /// Whether most callers of a workspace are at entries that do not reach the one that lends.
+    /// Returns whether entries with most of a workspace's demand cannot reach its lender.
     #[must_use]
     pub fn is_lender_unreachable(&self, workspace: &id::Workspace) -> bool {
         let bucket = self.buckets.get(workspace);
         bucket.is_some_and(Bucket::is_lender_unreachable)
     }
 
-    /// Processes that have a share.
+    /// Returns the processes that have a share.
     #[must_use]
     pub fn holders(&self) -> BTreeSet<(id::Instance, number::Boot)> {
         let owners = self.buckets.values().flat_map(Bucket::owners);
@@ -186,47 +189,51 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Late`] for a renewal that was overtaken by a later one.
-    pub fn renew(&mut self, now: duration::Instant, renew: &share::Renew) -> Result<Answer, Error> {
-        let owner = Owner::from_renewal(renew);
-        self.check_sequence(now, &owner, renew.sequence)?;
-        let mut records = Vec::new();
+    /// [`Error::Superseded`] if a later renewal of the same process was answered before.
+    pub fn renew(
+        &mut self,
+        now: duration::Instant,
+        renewal: &share::Renew,
+    ) -> Result<Answer, Error> {
+        let owner = Owner::from_renewal(renewal);
+        self.check_sequence(now, &owner, renewal.sequence)?;
+        let mut allocations = Vec::new();
         let mut grants = Vec::new();
-        for demand in &renew.demands {
+        for demand in &renewal.demands {
             let Some(bucket) = self.buckets.get_mut(&demand.workspace) else {
                 continue;
             };
             bucket.expire(now);
             self.next_share = self.next_share.max(demand.share + 1);
             grants.push(bucket.renew(now, &owner, demand, &mut self.next_share));
-            records.extend(bucket.take_unlogged(&demand.workspace));
+            allocations.extend(bucket.take_unlogged(&demand.workspace));
         }
         let granted = share::Granted {
-            sequence: renew.sequence,
+            sequence: renewal.sequence,
             term: self.term,
             lease: LEASE_DURATION,
             grants,
         };
         Ok(Answer {
-            allocations: records,
+            allocations,
             granted,
         })
     }
 
-    /// Closes shares whose lease has run out for certain; gives what to commit.
+    /// Closes shares whose lease has certainly run out; returns the allocations to commit.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<share::Allocation> {
         let is_outdated =
-            |seen: &LastRenewal| now.since(seen.received_at) > duration::Span(LEASE_DURATION.0 * 2);
-        self.last_renewals.retain(|_, seen| !is_outdated(seen));
-        let mut records = Vec::new();
+            |last: &LastRenewal| now.since(last.received_at) > duration::Span(LEASE_DURATION.0 * 2);
+        self.last_renewals.retain(|_, last| !is_outdated(last));
+        let mut allocations = Vec::new();
         for (workspace, bucket) in &mut self.buckets {
             bucket.expire(now);
-            records.extend(bucket.take_unlogged(workspace));
+            allocations.extend(bucket.take_unlogged(workspace));
         }
-        records
+        allocations
     }
 
-    /// All buckets, for a dump.
+    /// Returns the state of all buckets, for a dump.
     #[must_use]
     pub fn dump(&self) -> Vec<Dump> {
         let dump = |(workspace, bucket): (&id::Workspace, &Bucket)| {
@@ -242,24 +249,26 @@
         self.buckets.iter().map(dump).collect()
     }
 
-    /// A delayed renewal tells of a share that its sender no longer has in that
-    /// form; taken as evidence it would free rate that is in use.
+    /// Rejects a renewal that arrives after a later one of the same process.
+    ///
+    /// A delayed renewal reports a share that its sender no longer has in that form; taken as
+    /// evidence, it would free rate that is in use.
     fn check_sequence(
         &mut self,
         now: duration::Instant,
         owner: &Owner,
         sequence: number::Sequence,
     ) -> Result<(), Error> {
-        if let Some(seen) = self.last_renewals.get(owner)
-            && sequence <= seen.sequence
+        if let Some(last) = self.last_renewals.get(owner)
+            && sequence <= last.sequence
         {
             return Err(Error::Superseded(sequence));
         }
-        let seen = LastRenewal {
+        let last = LastRenewal {
             sequence,
             received_at: now,
         };
-        self.last_renewals.insert(owner.clone(), seen);
+        self.last_renewals.insert(owner.clone(), last);
         Ok(())
     }
 }
--- a/crates/cranberrygap-policy/src/limits/holder.rs
+++ b/crates/cranberrygap-policy/src/limits/holder.rs
@@ -1,4 +1,4 @@
-//! The entry's side: admits requests from leased shares.
+//! Entry's side of the rate limits: admits requests from leased shares and loans.
 
 mod borrowing;
 
@@ -16,19 +16,23 @@
 use super::{LEASE_DURATION, RENEWAL_INTERVAL};
 use crate::leader_calls;
 
-/// Least time between two renewals, so that a shortage does not flood the leader.
+/// Shortest time between two renewals, so that a shortage does not flood the leader.
 const MIN_RENEWAL_INTERVAL: duration::Span = duration::Span::from_millis(10);
 
-/// Time after which an unanswered renewal is given up. Well below the lease, so
-/// that several renewals fit into one.
+/// Time after which an unanswered renewal is given up.
+///
+/// Well below the lease, so that several renewals fit into one.
 pub const ANSWER_TIMEOUT: duration::Span = duration::Span::from_millis(700);
 
-/// Time between two renewals that only tell the leader of demand, which other entries lend
-/// for; as many times the gap, so that the leader's work for them does not grow with the fleet.
+/// Time between two renewals that only report demand that other entries lend for.
 const DEMAND_REPORT_INTERVAL: duration::Span = duration::Span::from_secs(2);
+
+/// Factor on the shortest renewal interval for these reports.
+///
+/// It keeps the leader's work for them from growing with the fleet.
 const DEMAND_REPORT_FACTOR: u64 = 16;
 
-/// Shares of one entry.
+/// Shares and loans of one entry.
 #[derive(Debug)]
 pub struct Holder {
     instance: id::Instance,
@@ -37,26 +41,26 @@
     renewals: Renewals,
     last_ticket: u64,
     closed: bool,
-    /// Least time between two renewals.
+    /// Shortest time between two renewals, for the current number of entries.
     min_interval: duration::Span,
-    /// Questions to the entries that lend.
+    /// Loan requests to each lender.
     lenders: BTreeMap<id::Instance, LoanRequests>,
 }
 
-/// Why a renewal is sent.
+/// Reason for a renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RenewalReason {
-    /// A period has passed, or the first one is sent.
+    /// The renewal interval has passed, or no renewal was sent yet.
     Interval,
     /// Requests wait for tokens.
     Shortage,
-    /// The leader is to hear soon that a changed share has arrived.
+    /// The leader must soon learn that a changed share has arrived.
     Confirmation,
-    /// The last one got no answer.
+    /// The last renewal got no answer.
     NoAnswer,
 }
 
-/// Tokens taken for one request; handed back to [`Holder::close_reservation`] at its end.
+/// Tokens taken for one request; passed to [`Holder::close_reservation`] at its end.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     workspace: id::Workspace,
@@ -64,28 +68,28 @@
     cost: token::Count,
 }
 
-/// Answer to a request for tokens.
+/// Result of asking for a request's tokens.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The tokens are taken.
     Admitted(Reservation),
-    /// The tokens are not here; [`Holder::poll`] decides on this ticket.
+    /// The tokens are not available yet; [`Holder::poll`] decides on this ticket.
     Queued(u64),
 }
 
-/// What becomes of a request that waited for tokens.
+/// Decision on a request that waited for tokens.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The tokens are taken.
     Admitted(Reservation),
-    /// They will not be there in time; after so long they could be.
+    /// The tokens will not be available in time, but may be after this time.
     Refused(duration::Span),
 }
 
-/// State of one share for a dump.
+/// State of one share, for a dump.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// Whose bucket.
+    /// Workspace of the bucket.
     pub workspace: id::Workspace,
     /// Number of the share, 0 for none.
     pub share: u64,
@@ -93,14 +97,14 @@
     pub rate: token::Rate,
     /// Most tokens that the share may hold.
     pub cap: token::Count,
-    /// Tokens that are there.
+    /// Tokens that may be spent now.
     pub level: token::Count,
     /// End of the lease on this process's clock.
     pub until: duration::Instant,
 }
 
 impl Holder {
-    /// A holder without any tokens, as after each start of the process.
+    /// Creates a holder without any tokens, as after each start of the process.
     #[must_use]
     pub fn new(instance: id::Instance, boot: number::Boot) -> Self {
         Self {
@@ -115,13 +119,12 @@
         }
     }
 
-    /// Takes over how many entries renew at the same leader.
+    /// Sets the number of entries that renew at the same leader.
     pub fn set_entry_count(&mut self, count: usize) {
         self.min_interval = leader_calls::min_interval(count).max(MIN_RENEWAL_INTERVAL);
     }
 
-    /// Takes `cost` tokens of `workspace`, or lets the request wait for them
-    /// as long as its patience lasts.
+    /// Takes `cost` tokens of `workspace`, or queues the request for at most `max_wait`.
     pub fn admit(
         &mut self,
         now: duration::Instant,
@@ -129,36 +132,36 @@
         cost: token::Count,
         max_wait: MaxWait,
     ) -> Admission {
-        let stock = self
+        let bucket = self
             .buckets
             .entry(workspace.clone())
             .or_insert_with(|| LocalBucket::new(now));
-        stock.advance(now);
+        bucket.advance(now);
         let amount = Amount::from_count(cost);
-        stock.record_request(amount);
+        bucket.record_request(amount);
         self.last_ticket += 1;
-        if stock.queue.may_overtake_all(amount) && stock.take(amount, self.last_ticket) {
-            stock.queue.record_overtaking(amount);
+        if bucket.queue.may_overtake_all(amount) && bucket.take(amount, self.last_ticket) {
+            bucket.queue.record_overtaking(amount);
             return Admission::Admitted(Reservation {
                 workspace: workspace.clone(),
                 ticket: self.last_ticket,
                 cost,
             });
         }
-        stock.queue.push(now, self.last_ticket, amount, max_wait);
+        bucket.queue.push(now, self.last_ticket, amount, max_wait);
         Admission::Queued(self.last_ticket)
     }
 
-    /// Decides on waiting requests; to be called after each answer and at [`Holder::next_decision_at`].
+    /// Decides on waiting requests; called after each answer and at [`Holder::next_decision_at`].
     pub fn poll(&mut self, now: duration::Instant) -> Vec<(u64, Decision)> {
         let mut decided = Vec::new();
-        for (workspace, stock) in &mut self.buckets {
-            stock.advance(now);
-            while let Some(waiter) = stock.queue.front() {
-                if !stock.take(waiter.cost, waiter.ticket) {
+        for (workspace, bucket) in &mut self.buckets {
+            bucket.advance(now);
+            while let Some(waiter) = bucket.queue.front() {
+                if !bucket.take(waiter.cost, waiter.ticket) {
                     break;
                 }
-                stock.queue.pop();
+                bucket.queue.pop();
                 let reservation = Reservation {
                     workspace: workspace.clone(),
                     ticket: waiter.ticket,
@@ -166,8 +169,8 @@
                 };
                 decided.push((waiter.ticket, Decision::Admitted(reservation)));
             }
-            let (available, rate, forecast) = (stock.available(), stock.rate, stock.forecast);
-            let unservable = stock
+            let (available, rate, forecast) = (bucket.available(), bucket.rate, bucket.forecast);
+            let unservable = bucket
                 .queue
                 .remove_unservable(now, available, rate, forecast);
             let refused = unservable.into_iter();
@@ -176,7 +179,7 @@
         decided
     }
 
-    /// When [`Holder::poll`] can next decide something by the passing of time.
+    /// Returns the time at which [`Holder::poll`] may next decide without a new answer.
     #[must_use]
     pub fn next_decision_at(&self) -> Option<duration::Instant> {
         self.buckets
@@ -185,69 +188,69 @@
             .min()
     }
 
-    /// Forgets a waiting request whose caller has left.
+    /// Drops a waiting request whose caller left.
     pub fn cancel(&mut self, ticket: u64) {
-        for stock in self.buckets.values_mut() {
-            stock.queue.remove(ticket);
+        for bucket in self.buckets.values_mut() {
+            bucket.queue.remove(ticket);
         }
     }
 
-    /// Ends a reservation of which `used` tokens were spent; refunds the rest.
+    /// Ends a reservation of which `used` tokens were spent, and refunds the rest.
     pub fn close_reservation(
         &mut self,
         now: duration::Instant,
         reservation: &Reservation,
         used: token::Count,
     ) {
-        let Some(stock) = self.buckets.get_mut(&reservation.workspace) else {
+        let Some(bucket) = self.buckets.get_mut(&reservation.workspace) else {
             return;
         };
-        stock.advance(now);
+        bucket.advance(now);
         let unused = token::Count(reservation.cost.0.saturating_sub(used.0));
-        stock.refund(reservation.ticket, Amount::from_count(unused));
+        bucket.refund(reservation.ticket, Amount::from_count(unused));
     }
 
-    /// When the next renewal is to be sent.
+    /// Returns the time at which the next renewal is due.
     #[must_use]
     pub fn next_renewal_at(&self) -> duration::Instant {
-        let Some(sent) = self.renewals.sent_at() else {
+        let Some(sent_at) = self.renewals.sent_at() else {
             return duration::Instant::default();
         };
         if self.renewals.is_awaited() {
-            return sent.after(ANSWER_TIMEOUT);
+            return sent_at.after(ANSWER_TIMEOUT);
         }
-        let earliest = sent.after(self.min_interval);
+        let earliest = sent_at.after(self.min_interval);
         if self.renewals.has_failed() {
-            return sent.after(RENEWAL_INTERVAL.max(self.min_interval));
+            return sent_at.after(RENEWAL_INTERVAL.max(self.min_interval));
         }
         if self.buckets.values().any(LocalBucket::needs_confirmation) {
             return earliest;
         }
-        let latest = self.latest_renewal_at(sent);
+        let latest = self.latest_renewal_at(sent_at);
         let request_at = self.leader_request_at(earliest);
-        request_at.map_or(latest, |asks| asks.min(latest))
+        request_at.map_or(latest, |at| at.min(latest))
     }
 
-    /// When the leader is to be asked for what those in line lack.
+    /// Returns when to ask the leader for the tokens that waiting requests lack.
     fn leader_request_at(&self, earliest: duration::Instant) -> Option<duration::Instant> {
-        let stocks = self.buckets.values();
-        let stocks = stocks.filter(|stock| self.loan_source(stock) == LoanSource::Leader);
-        stocks
-            .filter_map(|stock| stock.next_request_at(earliest))
+        let buckets = self.buckets.values();
+        let buckets = buckets.filter(|bucket| self.loan_source(bucket) == LoanSource::Leader);
+        buckets
+            .filter_map(|bucket| bucket.next_request_at(earliest))
             .min()
     }
 
-    /// When the leader is to hear of this entry at the latest.
-    fn latest_renewal_at(&self, sent: duration::Instant) -> duration::Instant {
-        let mut active = self.buckets.values().filter(|stock| !stock.is_idle());
+    /// Returns the latest time for the next renewal if no request waits.
+    fn latest_renewal_at(&self, sent_at: duration::Instant) -> duration::Instant {
+        let mut active = self.buckets.values().filter(|bucket| !bucket.is_idle());
         if active
             .clone()
-            .any(|stock| stock.holds_leader_tokens() || stock.lender.is_none())
+            .any(|bucket| bucket.holds_leader_tokens() || bucket.lender.is_none())
         {
-            return sent.after(RENEWAL_INTERVAL.max(self.min_interval));
+            return sent_at.after(RENEWAL_INTERVAL.max(self.min_interval));
         }
         if active.next().is_some() {
-            return sent.after(
+            return sent_at.after(
                 DEMAND_REPORT_INTERVAL
                     .max(duration::Span(self.min_interval.0 * DEMAND_REPORT_FACTOR)),
             );
@@ -255,10 +258,10 @@
         NEVER
     }
 
-    /// Who lends to a stock: the leader while the entry that should does not answer.
-    fn loan_source(&self, stock: &LocalBucket) -> LoanSource {
-        match &stock.lender {
-            Some(lender) if stock.borrows_from_lender() && !self.is_lender_silent(lender) => {
+    /// Returns who lends to a local bucket: the leader while its lender does not answer.
+    fn loan_source(&self, bucket: &LocalBucket) -> LoanSource {
+        match &bucket.lender {
+            Some(lender) if bucket.borrows_from_lender() && !self.is_lender_silent(lender) => {
                 LoanSource::Entry(lender.clone())
             }
             _ => LoanSource::Leader,
@@ -269,10 +272,10 @@
         self.lenders.get(lender).is_none_or(LoanRequests::is_silent)
     }
 
-    /// Why a renewal that is due now is sent.
+    /// Returns the reason for a renewal that is due now.
     #[must_use]
     pub fn renewal_reason(&self) -> RenewalReason {
-        let Some(sent) = self.renewals.sent_at() else {
+        let Some(sent_at) = self.renewals.sent_at() else {
             return RenewalReason::Interval;
         };
         if self.renewals.has_failed() || self.renewals.is_awaited() {
@@ -281,31 +284,33 @@
         if self.buckets.values().any(LocalBucket::needs_confirmation) {
             return RenewalReason::Confirmation;
         }
-        let request_at = self.leader_request_at(sent.after(self.min_interval));
+        let request_at = self.leader_request_at(sent_at.after(self.min_interval));
         match request_at {
-            Some(asks) if asks < self.latest_renewal_at(sent) => RenewalReason::Shortage,
+            Some(at) if at < self.latest_renewal_at(sent_at) => RenewalReason::Shortage,
             _ => RenewalReason::Interval,
         }
     }
 
-    /// The renewal to send now. An answer that is still awaited is given up: if
-    /// it comes late it is dropped with its tokens.
+    /// Returns the renewal to send now.
+    ///
+    /// An answer that is still awaited is given up: if it arrives late, it is dropped with
+    /// its tokens.
     pub fn begin_renewal(&mut self, now: duration::Instant) -> share::Renew {
         let sequence = self.renewals.begin(now);
         self.buckets
             .values_mut()
-            .for_each(|stock| stock.advance(now));
+            .for_each(|bucket| bucket.advance(now));
         self.buckets
-            .retain(|_, stock| !stock.is_idle() || stock.lender.is_some());
-        let sources = self.buckets.values().map(|stock| self.loan_source(stock));
+            .retain(|_, bucket| !bucket.is_idle() || bucket.lender.is_some());
+        let sources = self.buckets.values().map(|bucket| self.loan_source(bucket));
         let sources: Vec<LoanSource> = sources.collect();
         let mut demands = Vec::new();
-        for ((workspace, stock), source) in self.buckets.iter_mut().zip(sources) {
-            if stock.is_idle() {
+        for ((workspace, bucket), source) in self.buckets.iter_mut().zip(sources) {
+            if bucket.is_idle() {
                 continue;
             }
             let borrows = source == LoanSource::Leader;
-            let mut demand = stock.take_demand(now, workspace, borrows);
+            let mut demand = bucket.take_demand(now, workspace, borrows);
             if self.closed {
                 demand.rate = token::Rate(0.0);
                 demand.wanted = token::Count(0);
@@ -324,72 +329,72 @@
         }
     }
 
-    /// Applies an answer; true when it was the awaited one. [`Holder::poll`] is
-    /// to be called then.
+    /// Applies an answer to a renewal; returns true if it was the awaited one.
     ///
-    /// The lease runs from the sending of the renewal. The leader counts from
-    /// its answer, which is later, so this holder stops first.
+    /// [`Holder::poll`] must be called then. The lease runs from the sending of the renewal. The
+    /// leader counts from its answer, which is later, so this holder stops first.
     pub fn apply_grants(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
-        let Some(sent) = self.renewals.take_answer(answer.sequence) else {
+        let Some(sent_at) = self.renewals.take_answer(answer.sequence) else {
             return false;
         };
-        let until = sent.after(answer.lease);
-        for stock in self.buckets.values_mut() {
-            stock.advance(now);
-            stock.end_renewal();
+        let until = sent_at.after(answer.lease);
+        for bucket in self.buckets.values_mut() {
+            bucket.advance(now);
+            bucket.end_renewal();
         }
         if now >= until || self.closed {
             return true;
         }
         for grant in &answer.grants {
-            if let Some(stock) = self.buckets.get_mut(&grant.workspace) {
-                stock.apply(now, grant, sent, until);
+            if let Some(bucket) = self.buckets.get_mut(&grant.workspace) {
+                bucket.apply(now, grant, sent_at, until);
             }
         }
         true
     }
 
-    /// Notes that a renewal got no answer; should one come after all, it is
-    /// dropped with its tokens.
+    /// Records that a renewal got no answer.
+    ///
+    /// An answer that arrives later is dropped with its tokens.
     pub fn fail_renewal(&mut self, sequence: number::Sequence) {
         self.renewals.fail(sequence);
     }
 
-    /// Admits nothing more and hands all tokens back with the next renewal.
+    /// Stops admitting requests and returns all tokens with the next renewal.
     pub fn close(&mut self, now: duration::Instant) {
         self.closed = true;
-        for stock in self.buckets.values_mut() {
-            stock.advance(now);
-            stock.close();
+        for bucket in self.buckets.values_mut() {
+            bucket.advance(now);
+            bucket.close();
         }
     }
 
-    /// Number of the last renewal that was sent.
+    /// Returns the number of the last message that was sent.
     #[must_use]
     pub fn last_sequence(&self) -> number::Sequence {
         self.renewals.sequence()
     }
 
-    /// Longest time that this holder may still admit after its last answer.
+    /// Returns the longest time that a holder may still admit after its last answer.
     #[must_use]
     pub const fn lease_duration() -> duration::Span {
         LEASE_DURATION
     }
 
-    /// All shares, for a dump.
+    /// Returns the state of all shares, for a dump.
     #[must_use]
     pub fn dump(&self) -> Vec<Dump> {
-        let dump = |(workspace, stock): (&id::Workspace, &LocalBucket)| Dump {
+        let dump = |(workspace, bucket): (&id::Workspace, &LocalBucket)| Dump {
             workspace: workspace.clone(),
-            share: stock.share,
-            rate: stock.rate.to_rate(),
-            cap: stock.cap.floor(),
-            level: stock.available().floor(),
-            until: stock.lease_end,
+            share: bucket.share,
+            rate: bucket.rate.to_rate(),
+            cap: bucket.cap.floor(),
+            level: bucket.available().floor(),
+            until: bucket.lease_end,
         };
         self.buckets.iter().map(dump).collect()
     }
 }
 
-/// When nothing is ever due.
+/// Time of a renewal that is never due.
 const NEVER: duration::Instant = duration::Instant(u64::MAX);
--- a/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
+++ b/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
@@ -1,4 +1,4 @@
-//! Questions to the entries that lend.
+//! Loan requests of a holder to the entries that lend.
 
 use std::collections::BTreeMap;
 
@@ -11,65 +11,65 @@
 use super::super::local_bucket::LocalBucket;
 use super::Holder;
 
-/// Workspaces of one question, so that it fits into a datagram.
+/// Most workspaces in one loan request, so that it fits into a datagram.
 const MAX_WORKSPACES: usize = 16;
 
 impl Holder {
-    /// Takes over which entry lends the tokens of which workspace; the leader lends the others'.
+    /// Sets the lender of each workspace; the leader lends for workspaces without one.
     pub fn set_lenders(
         &mut self,
         now: duration::Instant,
         lenders: &BTreeMap<id::Workspace, id::Instance>,
     ) {
         for (workspace, lender) in lenders {
-            let stock = self
+            let bucket = self
                 .buckets
                 .entry(workspace.clone())
                 .or_insert_with(|| LocalBucket::new(now));
-            if stock.lender.as_ref() != Some(lender) {
-                stock.set_lender(Some(lender.clone()));
+            if bucket.lender.as_ref() != Some(lender) {
+                bucket.set_lender(Some(lender.clone()));
             }
             self.lenders.entry(lender.clone()).or_default();
         }
-        for (workspace, stock) in &mut self.buckets {
-            if stock.lender.is_some() && !lenders.contains_key(workspace) {
-                stock.set_lender(None);
+        for (workspace, bucket) in &mut self.buckets {
+            if bucket.lender.is_some() && !lenders.contains_key(workspace) {
+                bucket.set_lender(None);
             }
         }
         let named: Vec<&id::Instance> = lenders.values().collect();
         self.lenders.retain(|lender, _| named.contains(&lender));
     }
 
-    /// When [`Holder::due_loan_requests`] has something to send to an entry that lends.
+    /// Returns the time at which [`Holder::due_loan_requests`] next has something to send.
     #[must_use]
     pub fn next_loan_request_at(&self) -> Option<duration::Instant> {
         let lenders = self.lenders.iter();
         lenders
-            .filter_map(|(lender, stream)| self.lender_request_at(lender, stream))
+            .filter_map(|(lender, requests)| self.lender_request_at(lender, requests))
             .min()
     }
 
     fn lender_request_at(
         &self,
         lender: &id::Instance,
-        stream: &LoanRequests,
+        requests: &LoanRequests,
     ) -> Option<duration::Instant> {
-        let Some(earliest) = stream.next_request_at() else {
-            return stream.resend_at();
+        let Some(earliest) = requests.next_request_at() else {
+            return requests.resend_at();
         };
         if self.closed {
             return None;
         }
         let source = LoanSource::Entry(lender.clone());
-        let stocks = self.buckets.values();
-        let lent = |stock: &&LocalBucket| stock.lender.as_ref() == Some(lender);
-        let stocks = stocks.filter(lent);
-        let due = stocks.filter_map(|stock| {
-            if !stock.borrows_from_lender() {
-                return stock.retry_lender_at().map(|at| at.max(earliest));
+        let buckets = self.buckets.values();
+        let has_lender = |bucket: &&LocalBucket| bucket.lender.as_ref() == Some(lender);
+        let buckets = buckets.filter(has_lender);
+        let due = buckets.filter_map(|bucket| {
+            if !bucket.borrows_from_lender() {
+                return bucket.retry_lender_at().map(|at| at.max(earliest));
             }
-            let returns = stock.return_loans_at(&source).map(|at| at.max(earliest));
-            stock
+            let returns = bucket.return_loans_at(&source).map(|at| at.max(earliest));
+            bucket
                 .next_request_at(earliest)
                 .into_iter()
                 .chain(returns)
@@ -78,23 +78,23 @@
         due.min()
     }
 
-    /// Questions to send now, each to the entry that lends.
+    /// Returns the loan requests to send now, each with its lender.
     pub fn due_loan_requests(
         &mut self,
         now: duration::Instant,
     ) -> Vec<(id::Instance, share::Renew)> {
         self.buckets
             .values_mut()
-            .for_each(|stock| stock.advance(now));
+            .for_each(|bucket| bucket.advance(now));
         let lenders = self.lenders.iter();
-        let due = lenders.filter(|(lender, stream)| {
-            let due = self.lender_request_at(lender, stream);
+        let due = lenders.filter(|(lender, requests)| {
+            let due = self.lender_request_at(lender, requests);
             due.is_some_and(|due| now >= due)
         });
         let due: Vec<id::Instance> = due.map(|(lender, _)| lender.clone()).collect();
         let asked = due.into_iter().filter_map(|lender| {
-            let question = self.loan_request(now, &lender)?;
-            Some((lender, question))
+            let request = self.loan_request(now, &lender)?;
+            Some((lender, request))
         });
         asked.collect()
     }
@@ -104,88 +104,91 @@
         now: duration::Instant,
         lender: &id::Instance,
     ) -> Option<share::Renew> {
-        let stream = self.lenders.get_mut(lender)?;
-        if stream.give_up_expired(now) {
-            // The leader is asked meanwhile, and the lender again after a pause.
+        let requests = self.lenders.get_mut(lender)?;
+        if requests.give_up_expired(now) {
+            // The leader is asked meanwhile; the lender is asked again after a pause.
             return None;
         }
-        if let Some(again) = stream.resend(now) {
-            return Some(again);
+        if let Some(resent) = requests.resend(now) {
+            return Some(resent);
         }
-        let borrows = !stream.is_silent();
+        let borrows = !requests.is_silent();
         let source = LoanSource::Entry(lender.clone());
         let asked = workspaces_to_report(&self.buckets, lender, self.renewals.sequence());
         let mut demands = Vec::with_capacity(asked.len());
         for workspace in asked {
-            if let Some(stock) = self.buckets.get_mut(&workspace) {
-                stock.advance(now);
-                demands.push(stock.take_loan_demand(now, &workspace, &source, borrows));
+            if let Some(bucket) = self.buckets.get_mut(&workspace) {
+                bucket.advance(now);
+                demands.push(bucket.take_loan_demand(now, &workspace, &source, borrows));
             }
         }
-        let question = share::Renew {
+        let request = share::Renew {
             instance: self.instance.clone(),
             boot: self.boot,
             sequence: self.renewals.next_sequence(),
             lends: false,
             demands,
         };
-        stream.record_sent(now, question.clone());
-        Some(question)
+        requests.record_sent(now, request.clone());
+        Some(request)
     }
 
-    /// Takes what an entry lends; true when it was the awaited answer. [`Holder::poll`] is to
-    /// be called then.
+    /// Applies a lender's answer; returns true if it was the awaited one.
+    ///
+    /// [`Holder::poll`] must be called then.
     pub fn apply_loans(
         &mut self,
         now: duration::Instant,
         lender: &id::Instance,
         answer: &share::Granted,
     ) -> bool {
-        let stream = self.lenders.get_mut(lender);
-        let answered = stream.and_then(|stream| stream.take_answer(answer.sequence));
-        let Some((question, sent)) = answered else {
+        let requests = self.lenders.get_mut(lender);
+        let answered = requests.and_then(|requests| requests.take_answer(answer.sequence));
+        let Some((request, sent)) = answered else {
             return false;
         };
         let source = LoanSource::Entry(lender.clone());
         let until = sent.after(answer.lease.min(LOAN_DURATION));
-        for demand in &question.demands {
-            let Some(stock) = self.buckets.get_mut(&demand.workspace) else {
+        for demand in &request.demands {
+            let Some(bucket) = self.buckets.get_mut(&demand.workspace) else {
                 continue;
             };
             let mut grants = answer.grants.iter();
             let Some(grant) = grants.find(|grant| grant.workspace == demand.workspace) else {
-                stock.record_denial(now, &source);
+                bucket.record_denial(now, &source);
                 continue;
             };
-            stock.advance(now);
+            bucket.advance(now);
             if now < until && !self.closed {
-                stock.add_loan(now, grant, until, &source);
+                bucket.add_loan(now, grant, until, &source);
             }
-            stock.record_answer(&source);
+            bucket.record_answer(&source);
         }
         true
     }
 }
 
-/// Workspaces of which a question to one lender tells: those in which somebody waits first,
-/// each of them in its turn where they are too many.
+/// Returns the workspaces for the next loan request to one lender.
+///
+/// Workspaces with waiting requests come first, and take turns where they are too many for
+/// one request.
 fn workspaces_to_report(
-    stocks: &BTreeMap<id::Workspace, LocalBucket>,
+    buckets: &BTreeMap<id::Workspace, LocalBucket>,
     lender: &id::Instance,
     turn: number::Sequence,
 ) -> Vec<id::Workspace> {
     let source = LoanSource::Entry(lender.clone());
-    let concerned = stocks.iter().filter(|(_, stock)| {
-        let lent = stock.borrows_from_lender() && stock.lender.as_ref() == Some(lender);
-        lent && stock.has_report_for(&source)
+    let reporting = buckets.iter().filter(|(_, bucket)| {
+        let has_lender = bucket.borrows_from_lender() && bucket.lender.as_ref() == Some(lender);
+        has_lender && bucket.has_report_for(&source)
     });
-    let (mut short, rest): (Vec<_>, Vec<_>) =
-        concerned.partition(|(_, stock)| stock.shortage() > Amount::ZERO);
-    if short.len() > MAX_WORKSPACES {
+    let (mut waiting, rest): (Vec<_>, Vec<_>) =
+        reporting.partition(|(_, bucket)| bucket.shortage() > Amount::ZERO);
+    if waiting.len() > MAX_WORKSPACES {
         let turn = usize::try_from(turn.0).unwrap_or_default() * MAX_WORKSPACES;
-        let begin = turn % short.len();
-        short.rotate_left(begin);
+        let begin = turn % waiting.len();
+        waiting.rotate_left(begin);
     }
-    let asked = short.into_iter().chain(rest).take(MAX_WORKSPACES);
+    let asked = waiting.into_iter().chain(rest).take(MAX_WORKSPACES);
     asked.map(|(workspace, _)| workspace.clone()).collect()
 }
--- a/crates/cranberrygap-policy/src/limits/lending.rs
+++ b/crates/cranberrygap-policy/src/limits/lending.rs
@@ -1,9 +1,10 @@
-//! The side of an entry that lends: lends a workspace's tokens to the others.
+//! Lender's side of the rate limits: an entry that lends a workspace's tokens to the others.
 //!
-//! The leader hands the pool of a workspace to one entry as a large share, under the same
-//! lease as any share. Other entries borrow there for [`LOAN_DURATION`] at most and never beyond the
-//! end of that lease, so that all of it is gone when the leader hands it to somebody else. A
-//! leader that is late or gone for less than the lease is not noticed by who borrows.
+//! The leader leases the pool of a workspace to one entry as a large share, on the same terms
+//! as any share. Other entries borrow from it for at most `LOAN_DURATION` and never beyond
+//! the end of that lease, so that all loans have ended when the leader leases the pool to
+//! another entry. Borrowers do not notice a leader that is late or gone for less than the
+//! lease.
 
 use std::collections::BTreeMap;
 
@@ -18,27 +19,30 @@
 use super::{LEASE_DURATION, RENEWAL_INTERVAL};
 use crate::leader_calls;
 
-/// Time between two renewals of what is lent. Several fit into a lease.
+/// Time between two renewals of a lender's shares; several fit into a lease.
 const LENDER_RENEWAL_INTERVAL: duration::Span = duration::Span(LEASE_DURATION.0 / 4);
 
-/// Time after which a renewal without an answer is given up. Its lease is good for twice
-/// that, and a renewal that is given up is one more for a leader that is late.
+/// Time after which an unanswered renewal is given up.
+///
+/// The lease lasts twice as long, and each renewal that is given up adds another one to a
+/// late leader's work.
 pub const ANSWER_TIMEOUT: duration::Span = duration::Span(LEASE_DURATION.0 / 2);
 
-/// Time kept between the end of a loan and that of the lease it is lent from: clocks of two
-/// instances differ by some hundred millionths.
+/// Time between the end of a loan and the end of the lease that it is lent from.
+///
+/// Clocks of two instances differ by some hundred millionths.
 const LOAN_END_MARGIN: duration::Span = duration::Span::from_millis(20);
 
-/// Shortest loan that is of use to anybody.
+/// Shortest useful loan.
 const MIN_LOAN_DURATION: duration::Span = duration::Span::from_millis(50);
 
-/// Time after which somebody asks again here while the leader has not handed the pool over.
+/// Time after which a borrower asks again while the leader has not leased the pool to this entry.
 const RETRY_DELAY: duration::Span = duration::Span::from_millis(100);
 
-/// Time after which nothing of an entry that was not heard is awaited any more.
+/// Time for which the last answer to each borrower is kept.
 const ANSWER_RETENTION: duration::Span = duration::Span(LOAN_DURATION.0 * 4);
 
-/// What one entry lends of each workspace that the leader chose it for.
+/// Pools of the workspaces that the leader selected this entry to lend for.
 #[derive(Debug)]
 pub struct Lender {
     instance: id::Instance,
@@ -50,32 +54,32 @@
     last_answers: BTreeMap<Owner, LastAnswer>,
 }
 
-/// The last question of an entry, and what it was answered.
+/// Answer to the last loan request of one borrower.
 #[derive(Debug)]
 struct LastAnswer {
     at: duration::Instant,
     answer: share::Granted,
 }
 
-/// State of one pool for a dump.
+/// State of one pool, for a dump.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// Whose tokens.
+    /// Workspace of the pool.
     pub workspace: id::Workspace,
-    /// Rate of what is lent.
+    /// Rate at which tokens accrue in the pool.
     pub rate: token::Rate,
-    /// Most tokens that may be there or lent.
+    /// Most tokens that the pool and its loans may hold.
     pub cap: token::Count,
-    /// Tokens that are there.
+    /// Tokens in the pool.
     pub level: token::Count,
-    /// Tokens that are lent and may not be spent yet.
+    /// Tokens of the loans that have not ended.
     pub lent: token::Count,
     /// End of the lease on this process's clock.
     pub until: duration::Instant,
 }
 
 impl Lender {
-    /// Nothing to lend yet.
+    /// Creates a lender without any pool.
     #[must_use]
     pub fn new(instance: id::Instance, boot: number::Boot) -> Self {
         Self {
@@ -89,12 +93,12 @@
         }
     }
 
-    /// Takes over how many entries renew at the same leader.
+    /// Sets the number of entries that renew at the same leader.
     pub fn set_entry_count(&mut self, count: usize) {
         self.min_interval = leader_calls::min_interval(count);
     }
 
-    /// Takes over the workspaces whose tokens this entry is to lend.
+    /// Sets the workspaces whose tokens this entry lends.
     pub fn set_workspaces(&mut self, now: duration::Instant, selected: &[id::Workspace]) {
         for (workspace, pool) in &mut self.pools {
             pool.is_selected = selected.contains(workspace);
@@ -106,21 +110,22 @@
         }
     }
 
-    /// Answers the question of an entry; `None` if it was overtaken by a later one.
+    /// Answers a loan request; returns `None` if a later one was answered before.
     ///
-    /// A question that comes twice gets the same answer, so that one whose answer was lost
-    /// is not lent to twice. Workspaces that are not lent here are left out.
-    pub fn answer(
+    /// A request that arrives twice gets the same answer, so that a borrower whose answer was
+    /// lost gets no second loan. Workspaces that this entry does not lend for are left out of
+    /// the answer.
+    pub fn answer_loan_request(
         &mut self,
         now: duration::Instant,
         request: &share::Renew,
     ) -> Option<share::Granted> {
         let owner = Owner::from_renewal(request);
-        if let Some(heard) = self.last_answers.get(&owner) {
-            if request.sequence == heard.answer.sequence {
-                return Some(heard.answer.clone());
+        if let Some(last) = self.last_answers.get(&owner) {
+            if request.sequence == last.answer.sequence {
+                return Some(last.answer.clone());
             }
-            if request.sequence < heard.answer.sequence {
+            if request.sequence < last.answer.sequence {
                 return None;
             }
         }
@@ -132,7 +137,7 @@
             };
             pool.advance(now);
             if pool.share == 0 {
-                // The leader may have the tokens; whoever asks goes there.
+                // The leader may have the tokens, so the borrower turns to the leader.
                 continue;
             }
             loan_duration = loan_duration.min(pool.loan_duration(now));
@@ -145,16 +150,16 @@
             grants,
         };
         self.last_answers
-            .retain(|_, heard| now.since(heard.at) < ANSWER_RETENTION);
-        let heard = LastAnswer {
+            .retain(|_, last| now.since(last.at) < ANSWER_RETENTION);
+        let last = LastAnswer {
             at: now,
             answer: answer.clone(),
         };
-        self.last_answers.insert(owner, heard);
+        self.last_answers.insert(owner, last);
         Some(answer)
     }
 
-    /// When the leader is to be asked next.
+    /// Returns the time at which the next renewal is due.
     #[must_use]
     pub fn next_renewal_at(&self) -> duration::Instant {
         if self.pools.is_empty() {
@@ -178,7 +183,7 @@
         sent.after(interval)
     }
 
-    /// The renewal to send to the leader now.
+    /// Returns the renewal to send to the leader now.
     pub fn begin_renewal(&mut self, now: duration::Instant) -> share::Renew {
         let sequence = self.renewals.begin(now);
         self.pools.values_mut().for_each(|pool| pool.advance(now));
@@ -194,7 +199,7 @@
         }
     }
 
-    /// Applies the leader's answer; true when it was the awaited one.
+    /// Applies the leader's answer; returns true if it was the awaited one.
     pub fn apply_grants(&mut self, now: duration::Instant, answer: &share::Granted) -> bool {
         let Some(sent) = self.renewals.take_answer(answer.sequence) else {
             return false;
@@ -212,12 +217,12 @@
         true
     }
 
-    /// Notes that a renewal got no answer.
+    /// Records that a renewal got no answer.
     pub fn fail_renewal(&mut self, sequence: number::Sequence) {
         self.renewals.fail(sequence);
     }
 
-    /// Lends nothing more, and hands all that is not lent back with the next renewal.
+    /// Stops lending and returns all tokens without a loan with the next renewal.
     pub fn close(&mut self, now: duration::Instant) {
         self.closed = true;
         for pool in self.pools.values_mut() {
@@ -226,13 +231,13 @@
         }
     }
 
-    /// Whether there is anything to hand back.
+    /// Returns whether there is no pool, so that nothing must be returned.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pools.is_empty()
     }
 
-    /// All pools, for a dump.
+    /// Returns the state of all pools, for a dump.
     #[must_use]
     pub fn dump(&self) -> Vec<Dump> {
         let dump = |(workspace, pool): (&id::Workspace, &Pool)| Dump {
@@ -247,10 +252,10 @@
     }
 }
 
-/// What is lent of one workspace.
+/// Pool of one workspace.
 #[derive(Debug, Default)]
 struct Pool {
-    /// Whether the leader chose this entry.
+    /// Whether the leader selected this entry as lender.
     is_selected: bool,
     share: u64,
     rate: FixedRate,
@@ -258,9 +263,9 @@
     level: Amount,
     lease_end: duration::Instant,
     accrued_at: duration::Instant,
-    /// Tokens to hand back with the next renewal.
+    /// Tokens to return with the next renewal.
     surplus: Amount,
-    /// The share changed and the leader does not know yet that it arrived.
+    /// Whether the share changed and the leader does not know yet that the change arrived.
     unconfirmed: bool,
     loans: LoanIssuer,
 }
@@ -274,7 +279,7 @@
         }
     }
 
-    /// Brings the pool up to `now`: the lease may have run out, else tokens accrue.
+    /// Advances the pool to `now`: drops a share whose lease has run out, then accrues tokens.
     fn advance(&mut self, now: duration::Instant) {
         if self.share != 0 && now >= self.lease_end {
             self.drop_share();
@@ -286,15 +291,17 @@
         self.cap_level();
     }
 
-    /// Loans that may still be spent are part of what the leader granted.
+    /// Caps the level so that the pool and its loans hold no more than the leader granted.
     fn cap_level(&mut self) {
         self.level = self.level.min(self.cap.minus(self.loans.outstanding()));
     }
 
-    /// Time for which a loan may live.
+    /// Returns the duration of a loan made now.
     fn loan_duration(&self, now: duration::Instant) -> duration::Span {
-        let left = self.lease_end.since(now);
-        LOAN_DURATION.min(duration::Span(left.0.saturating_sub(LOAN_END_MARGIN.0)))
+        let remaining = self.lease_end.since(now);
+        LOAN_DURATION.min(duration::Span(
+            remaining.0.saturating_sub(LOAN_END_MARGIN.0),
+        ))
     }
 
     fn lend(
@@ -303,9 +310,9 @@
         owner: &Owner,
         demand: &share::Demand,
     ) -> share::Grant {
-        let kept = Amount::from_count(demand.lent);
+        let still_held = Amount::from_count(demand.lent);
         let unlent = Amount::from_count(demand.unlent);
-        let returned = self.loans.confirm_loans(owner, kept, unlent);
+        let returned = self.loans.confirm_loans(owner, still_held, unlent);
         self.level = self.level.plus(returned);
         self.cap_level();
         let can_lend = self.loan_duration(now) >= MIN_LOAN_DURATION;
@@ -339,8 +346,10 @@
         }
     }
 
-    /// What the next renewal says. No space is kept for tokens of the leader's pool: while it
-    /// is awaited the pool goes on to fill.
+    /// Returns the demand for the next renewal.
+    ///
+    /// No space is kept free for tokens of the leader's pool, because this pool keeps filling
+    /// while the answer is awaited.
     fn take_demand(&mut self, workspace: &id::Workspace) -> share::Demand {
         self.unconfirmed = false;
         let returned = std::mem::take(&mut self.surplus).floor();
@@ -370,13 +379,13 @@
         self.cap_level();
     }
 
-    /// Whether the leader has to hear or give something soon.
+    /// Returns whether the next renewal must not wait for the regular interval.
     fn is_urgent(&self) -> bool {
         let holds = self.share != 0 && self.cap > Amount::ZERO;
         self.unconfirmed || self.is_selected != holds
     }
 
-    /// Whether nothing is held, owed or lent any more.
+    /// Returns whether the pool has no tokens, loans or messages left.
     fn is_finished(&self) -> bool {
         let holds = self.cap > Amount::ZERO || self.loans.outstanding() > Amount::ZERO;
         !self.is_selected && !holds && !self.unconfirmed && self.surplus.floor().0 == 0
@@ -392,7 +401,7 @@
         self.unconfirmed = true;
     }
 
-    /// Forgets what the lease carried; all loans have ended before it.
+    /// Drops the share when its lease has run out; all its loans have ended before.
     fn drop_share(&mut self) {
         self.share = 0;
         self.rate = FixedRate::ZERO;
@@ -403,5 +412,5 @@
     }
 }
 
-/// When nothing is ever due.
+/// Time of a renewal that is never due.
 const NEVER: duration::Instant = duration::Instant(u64::MAX);
--- a/crates/cranberrygap-policy/src/limits/loan_issuer.rs
+++ b/crates/cranberrygap-policy/src/limits/loan_issuer.rs
@@ -1,15 +1,15 @@
-//! Tokens that the leader lends for single requests, beside the shares.
+//! Loans of single requests' tokens to entries, issued by the leader or by a lender.
 //!
-//! A generation costs thousands of tokens at once, and a small workspace has a few
-//! thousand a second for all entries together. Spread over entries as shares, no entry
-//! ever holds what one request costs, and what accrues in a full share is lost: callers
-//! within their rate would be refused. So the tokens stay in the pool, and the leader
-//! lends them whole to whoever is first in line.
+//! A generation costs thousands of tokens at once, and a small workspace has a few thousand
+//! per second for all entries together. Spread over entries as shares, no entry ever holds
+//! what one request costs, and tokens that accrue in a full share are lost: callers within
+//! their rate would be refused. So the tokens stay in the pool, and the leader lends them as
+//! a whole to the first entry in the queue.
 //!
-//! A loan lives for [`LOAN_DURATION`] from the sending of the renewal that asked for it. It is
-//! not in the log: a new leader lends nothing before all loans of its predecessor have
-//! ended. While a loan may live the pool leaves room for it, so that shares, loans and
-//! pool together never hold more than the burst.
+//! A loan lasts [`LOAN_DURATION`] from the sending of the renewal that asked for it. It is
+//! not in the log: a new leader lends nothing before all loans of its predecessor have ended.
+//! While a loan may be spent, the pool leaves space for it, so that shares, loans and pool
+//! together never hold more than the burst.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,58 +21,62 @@
 use super::owner::Owner;
 use super::wait_queue;
 
-/// Time for which a loan may be spent, counted by its holder from sending the renewal.
-/// Longer than nearly all answers take, short since a new leader waits it out.
+/// Time for which a loan may be spent, counted by its holder from the sending of the renewal.
+///
+/// Longer than nearly all answers take, and short because a new leader waits it out.
 pub const LOAN_DURATION: duration::Span = duration::Span::from_millis(600);
 
-/// Time by which the leader counts a loan longer than its holder, whose clock may be
-/// slower by some hundred millionths; a part of the life as with leases.
+/// Time by which the issuer's view of a loan is longer than its holder's.
+///
+/// The holder's clock may be slower by some hundred millionths, so the margin is a part of
+/// the duration, as with leases.
 const LOAN_MARGIN: duration::Span = duration::Span(LOAN_DURATION.0 / 64);
 
-/// Time after which an entry that asked and was not heard again has left the line. An
-/// entry that waits renews each quarter of a second at least.
+/// Time after which a waiting entry that was not heard again leaves the queue.
+///
+/// A waiting entry renews at least every quarter of a second.
 const REQUEST_TIMEOUT: duration::Span = duration::Span::from_millis(600);
 
-/// Part of the burst that a lender keeps before it lends more than is asked for.
+/// Fraction of the burst that an issuer keeps before it lends more than requested.
 const RESERVED_BURST_FRACTION: f64 = 0.5;
 
-/// Part of what the pool holds beyond it that one answer lends ahead.
+/// Fraction of the pool beyond that reserve which one answer may lend in advance.
 const ADVANCE_FRACTION: f64 = 0.25;
 
-/// What a lender has for those who ask.
+/// Tokens that an issuer can lend.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Supply {
-    /// Tokens that are there.
+    /// Tokens in the pool.
     pub(super) pool: Amount,
-    /// At which more come.
+    /// Rate at which the pool accrues.
     pub(super) rate: FixedRate,
-    /// When they begin to come.
+    /// Time from which the pool accrues.
     pub(super) accrues_from: duration::Instant,
-    /// Most that the pool may hold.
+    /// Most tokens that the pool may hold.
     pub(super) burst: Amount,
-    /// Whether more is lent than is asked for.
+    /// Whether tokens may be lent in advance, beyond what is requested.
     pub(super) lends_in_advance: bool,
 }
 
-/// What one who asked gets, and when there may be more.
+/// Loan for one request, and the times after which there may be more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Offer {
     /// Whole tokens that are lent now.
     pub(super) lent: Amount,
-    /// Time until the first request in line may get its tokens.
+    /// Time until the first waiting request may get its tokens.
     pub(super) first_wait: duration::Span,
-    /// The same for all that were wanted.
+    /// Time until all requested tokens may be available.
     pub(super) total_wait: duration::Span,
 }
 
-/// An entry that waits for tokens.
+/// Request of an entry that waits for tokens.
 #[derive(Debug, Clone)]
 struct Request {
     owner: Owner,
     first: Amount,
     wanted: Amount,
     received_at: duration::Instant,
-    /// What small asks that came later have taken before it.
+    /// Tokens of smaller requests that overtook this one.
     overtaken: Amount,
 }
 
@@ -82,26 +86,27 @@
     end: duration::Instant,
 }
 
-/// Loans of one workspace and the entries that wait for one.
+/// Outstanding loans of one workspace and the queue of entries that wait for one.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoanIssuer {
     queue: VecDeque<Request>,
     loans: BTreeMap<Owner, VecDeque<Loan>>,
-    /// Sum of what is left of the loans.
+    /// Sum of the tokens that remain in all loans.
     outstanding: Amount,
-    /// No loan ends before this.
+    /// Time before which no loan ends.
     next_end: Option<duration::Instant>,
 }
 
-/// Under this name, which no instance bears with this boot, the log keeps what the pool
-/// holds for certain.
+/// Instance name of a pool's guarantee in the log; no process has it with `GUARANTEE_BOOT`.
 const GUARANTEE_INSTANCE: &str = "pool";
+
+/// Boot of a pool's guarantee in the log.
 const GUARANTEE_BOOT: number::Boot = number::Boot(0);
 
-/// The log's entry on what the pool of a workspace keeps under a limit.
+/// Returns the log entry for the guarantee of a workspace's pool under a limit.
 ///
-/// The limit is part of it: a smaller one empties the pool before the next entry, and a
-/// new leader that took the old promise for valid would lend what nobody has.
+/// The limit is part of the entry: a smaller limit empties the pool before the next entry,
+/// and a new leader that took the old guarantee as valid would lend tokens that do not exist.
 pub(super) fn guarantee_entry(
     workspace: &id::Workspace,
     kept: Amount,
@@ -124,12 +129,12 @@
     }
 }
 
-/// Whether an entry of the log is on a pool.
+/// Returns whether a log entry is the guarantee of a pool.
 pub(super) fn is_guarantee(logged: &share::Allocation) -> bool {
     logged.boot == GUARANTEE_BOOT && logged.instance.as_str() == GUARANTEE_INSTANCE
 }
 
-/// When all loans of an earlier leader have ended for certain, seen at `now`.
+/// Returns when all loans made up to `now`, also by an earlier leader, have certainly ended.
 pub(super) fn loans_end(now: duration::Instant) -> duration::Instant {
     now.after(LOAN_DURATION).after(LOAN_MARGIN)
 }
@@ -147,13 +152,13 @@
 }
 
 impl LoanIssuer {
-    /// Forgets loans that nobody can spend any more, and who has left the line.
+    /// Drops loans that have ended, and requests of entries that left the queue.
     pub(super) fn expire(&mut self, now: duration::Instant) {
-        if self.next_end.is_some_and(|due| now >= due) {
+        if self.next_end.is_some_and(|end| now >= end) {
             self.drop_ended_loans(now);
         }
         self.queue
-            .retain(|ask| now.since(ask.received_at) < REQUEST_TIMEOUT);
+            .retain(|request| now.since(request.received_at) < REQUEST_TIMEOUT);
     }
 
     fn drop_ended_loans(&mut self, now: duration::Instant) {
@@ -161,44 +166,53 @@
             loans.retain(|loan| now < loan.end);
         }
         self.loans.retain(|_, loans| !loans.is_empty());
-        let left = self.loans.values().flatten();
-        self.outstanding = left.fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining));
-        let left = self.loans.values().flatten();
-        self.next_end = left.map(|loan| loan.end).min();
+        let loans = self.loans.values().flatten();
+        self.outstanding = loans.fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining));
+        let loans = self.loans.values().flatten();
+        self.next_end = loans.map(|loan| loan.end).min();
     }
 
-    /// Tokens that loans may still hold.
+    /// Returns the tokens that loans may still hold.
     pub(super) const fn outstanding(&self) -> Amount {
         self.outstanding
     }
 
-    /// Takes what a holder says of its loans as evidence; gives what it hands back.
+    /// Updates a holder's loans from its report; returns the tokens that it hands back.
     ///
-    /// A holder drops every answer but the awaited one, so when it renews it has just
-    /// what it says: loans of answers that were lost are gone.
-    pub(super) fn confirm_loans(&mut self, owner: &Owner, kept: Amount, back: Amount) -> Amount {
+    /// A holder drops every answer but the awaited one, so when it renews it has exactly what
+    /// it reports: loans of lost answers are gone.
+    pub(super) fn confirm_loans(
+        &mut self,
+        owner: &Owner,
+        kept: Amount,
+        returned_tokens: Amount,
+    ) -> Amount {
         let Some(loans) = self.loans.get_mut(owner) else {
             return Amount::ZERO;
         };
         let known = loans
             .iter()
             .fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining));
-        let mut gone = known.minus(kept);
+        let mut lost = known.minus(kept);
         for loan in loans.iter_mut() {
-            let part = gone.min(loan.remaining);
+            let part = lost.min(loan.remaining);
             loan.remaining = loan.remaining.minus(part);
             self.outstanding = self.outstanding.minus(part);
-            gone = gone.minus(part);
+            lost = lost.minus(part);
         }
         loans.retain(|loan| loan.remaining > Amount::ZERO);
-        back.min(known.minus(kept))
+        returned_tokens.min(known.minus(kept))
     }
 
-    /// Notes what an entry waits for; `first` is zero when nobody waits there.
+    /// Queues what an entry waits for; a `first` of zero removes the entry.
     ///
-    /// A small ask goes before large ones that came earlier, as in an entry's own line.
+    /// A small request goes before larger ones that arrived earlier, as in an entry's own
+    /// queue.
     fn enqueue(&mut self, now: duration::Instant, owner: &Owner, first: Amount, wanted: Amount) {
-        let position = self.queue.iter().position(|ask| ask.owner == *owner);
+        let position = self
+            .queue
+            .iter()
+            .position(|request| request.owner == *owner);
         if first == Amount::ZERO {
             if let Some(position) = position {
                 self.queue.remove(position);
@@ -206,27 +220,27 @@
             return;
         }
         let wanted = wanted.max(first);
-        let (mut index, mut ask) = match position.and_then(|place| self.queue.remove(place)) {
+        let (mut index, mut request) = match position.and_then(|index| self.queue.remove(index)) {
             Some(known) => (position.unwrap_or_default(), known),
             None => (self.queue.len(), Request::new(owner)),
         };
-        ask.first = first;
-        ask.wanted = wanted;
-        ask.received_at = now;
-        while let Some(before) = index
+        request.first = first;
+        request.wanted = wanted;
+        request.received_at = now;
+        while let Some(earlier) = index
             .checked_sub(1)
-            .and_then(|place| self.queue.get_mut(place))
+            .and_then(|index| self.queue.get_mut(index))
         {
-            if !wait_queue::may_overtake(first, before.first, before.overtaken) {
+            if !wait_queue::may_overtake(first, earlier.first, earlier.overtaken) {
                 break;
             }
-            before.overtaken = before.overtaken.plus(first);
+            earlier.overtaken = earlier.overtaken.plus(first);
             index -= 1;
         }
-        self.queue.insert(index, ask);
+        self.queue.insert(index, request);
     }
 
-    /// Lends what an entry waits for, if it is its turn, or says when it may be.
+    /// Lends the tokens that an entry waits for, or returns the times after which it may get them.
     pub(super) fn serve(
         &mut self,
         now: duration::Instant,
@@ -239,10 +253,10 @@
         self.enqueue(now, owner, first, wanted);
         let ahead = self.tokens_ahead(owner);
         if ahead.plus(first) > supply.pool {
-            let late = supply.accrues_from.since(now);
+            let delay = supply.accrues_from.since(now);
             let time = |amount: Amount| {
                 let missing = ahead.plus(amount).minus(supply.pool);
-                duration::Span(supply.rate.time_to_accrue(missing).0 + late.0)
+                duration::Span(supply.rate.time_to_accrue(missing).0 + delay.0)
             };
             return Offer {
                 lent: Amount::ZERO,
@@ -251,8 +265,9 @@
             };
         }
         let free = supply.pool.minus(ahead);
-        // Short of all, only the first gets its tokens: parts of what the others need
-        // would lie at one entry and serve nobody.
+        // When not all requested tokens are available, only the first request gets its
+        // tokens: parts of what the others need would sit at one entry without serving any
+        // request.
         let lent = if wanted > free {
             first
         } else {
@@ -271,20 +286,25 @@
         }
     }
 
-    /// Entries in line.
+    /// Returns the entries in the queue.
     pub(super) fn waiting_owners(&self) -> impl Iterator<Item = &Owner> {
-        self.queue.iter().map(|ask| &ask.owner)
+        self.queue.iter().map(|request| &request.owner)
     }
 
-    /// What those before an entry in line wait for; all that wait if it does not.
+    /// Returns the tokens that entries ahead of `owner` wait for.
+    ///
+    /// All queued entries count as ahead of an owner that is not queued.
     pub(super) fn tokens_ahead(&self, owner: &Owner) -> Amount {
-        let before = self.queue.iter().take_while(|ask| ask.owner != *owner);
-        before.fold(Amount::ZERO, |sum, ask| sum.plus(ask.wanted))
+        let earlier = self
+            .queue
+            .iter()
+            .take_while(|request| request.owner != *owner);
+        earlier.fold(Amount::ZERO, |sum, request| sum.plus(request.wanted))
     }
 
-    /// Lends to an entry, which goes to the end of the line with its next ask.
+    /// Issues a loan to an entry, which joins the end of the queue with its next request.
     fn issue(&mut self, now: duration::Instant, owner: &Owner, amount: Amount) {
-        self.queue.retain(|ask| ask.owner != *owner);
+        self.queue.retain(|request| request.owner != *owner);
         if amount > Amount::ZERO {
             let loan = Loan {
                 remaining: amount,
@@ -297,8 +317,10 @@
     }
 }
 
-/// What may be lent beyond what is asked for, so that the next requests find their
-/// tokens there: those of one period and one large one, as long as the pool is rich.
+/// Returns the tokens to lend in advance, so that the next requests find theirs at the entry.
+///
+/// These are the tokens of one renewal interval and one typical request, limited while the
+/// pool is low.
 fn advance_tokens(demand: &share::Demand, free: Amount, burst: Amount) -> Amount {
     let kept = burst.as_f64() * RESERVED_BURST_FRACTION;
     let rich = (free.as_f64() - kept).max(0.0) * ADVANCE_FRACTION;
--- a/crates/cranberrygap-policy/src/limits/loan_requests.rs
+++ b/crates/cranberrygap-policy/src/limits/loan_requests.rs
@@ -1,22 +1,23 @@
-//! Questions of an entry to one lender of tokens, one at a time.
+//! Loan requests of an entry to one lender, one at a time.
 
 use cranberrygap_model::{duration, id, number};
 use cranberrygap_wire::share;
 
-/// Time after which a datagram that got no answer is sent again.
+/// Time after which an unanswered datagram is sent again.
 const RESEND_INTERVAL: duration::Span = duration::Span::from_millis(25);
 
-/// Time after which a question is given up; an answer that comes later is dropped with its
-/// tokens.
+/// Time after which a loan request is given up.
+///
+/// An answer that arrives later is dropped with its tokens.
 const ANSWER_TIMEOUT: duration::Span = duration::Span::from_millis(150);
 
-/// Least time between two questions to one lender.
+/// Shortest time between two loan requests to one lender.
 const MIN_REQUEST_INTERVAL: duration::Span = duration::Span::from_millis(2);
 
-/// Time after which a lender that gave no answer is asked again.
+/// Time after which a lender that did not answer is asked again.
 const SILENT_LENDER_PAUSE: duration::Span = duration::Span::from_millis(100);
 
-/// What was asked of one lender, and whether it answers.
+/// Loan request to one lender, and whether the lender answers.
 #[derive(Debug, Default)]
 pub(super) struct LoanRequests {
     pending: Option<Pending>,
@@ -27,19 +28,19 @@
 #[derive(Debug)]
 struct Pending {
     request: share::Renew,
-    /// When it was sent first; loans are counted from then.
+    /// Time when it was first sent; loans are counted from then.
     first_sent_at: duration::Instant,
-    /// When it was sent last.
+    /// Time when it was last sent.
     last_sent_at: duration::Instant,
 }
 
 impl LoanRequests {
-    /// Whether the last question got no answer.
+    /// Returns whether the last request got no answer.
     pub(super) const fn is_silent(&self) -> bool {
         self.is_silent
     }
 
-    /// When a new question may be sent at the earliest; `None` while one is awaited.
+    /// Returns the earliest time for a new request, or `None` while an answer is awaited.
     pub(super) fn next_request_at(&self) -> Option<duration::Instant> {
         if self.pending.is_some() {
             return None;
@@ -55,18 +56,18 @@
         )
     }
 
-    /// When the awaited question is to be sent again or given up.
+    /// Returns when the awaited request must be sent again or given up.
     pub(super) fn resend_at(&self) -> Option<duration::Instant> {
-        let awaited = self.pending.as_ref()?;
-        Some(awaited.last_sent_at.after(RESEND_INTERVAL))
+        let pending = self.pending.as_ref()?;
+        Some(pending.last_sent_at.after(RESEND_INTERVAL))
     }
 
-    /// Gives up a question that has waited for too long.
+    /// Gives up a request that has waited for too long; returns true if there was one.
     pub(super) fn give_up_expired(&mut self, now: duration::Instant) -> bool {
         let given_up = self
             .pending
             .as_ref()
-            .is_some_and(|awaited| now >= awaited.first_sent_at.after(ANSWER_TIMEOUT));
+            .is_some_and(|pending| now >= pending.first_sent_at.after(ANSWER_TIMEOUT));
         if given_up {
             self.pending = None;
             self.is_silent = true;
@@ -74,14 +75,14 @@
         given_up
     }
 
-    /// The awaited question, to be sent again now.
+    /// Returns the awaited request, to be sent again now.
     pub(super) fn resend(&mut self, now: duration::Instant) -> Option<share::Renew> {
-        let awaited = self.pending.as_mut()?;
-        awaited.last_sent_at = now;
-        Some(awaited.request.clone())
+        let pending = self.pending.as_mut()?;
+        pending.last_sent_at = now;
+        Some(pending.request.clone())
     }
 
-    /// Notes a question that is sent now.
+    /// Records a request that is sent now.
     pub(super) fn record_sent(&mut self, now: duration::Instant, request: share::Renew) {
         self.sent_at = Some(now);
         self.pending = Some(Pending {
@@ -91,16 +92,16 @@
         });
     }
 
-    /// Takes an answer; gives its question and when that was sent, if it is the awaited one.
+    /// Takes an answer; returns its request and when that was first sent, if it is the awaited one.
     pub(super) fn take_answer(
         &mut self,
         sequence: number::Sequence,
     ) -> Option<(share::Renew, duration::Instant)> {
-        let awaited = self
+        let pending = self
             .pending
-            .take_if(|awaited| awaited.request.sequence == sequence)?;
+            .take_if(|pending| pending.request.sequence == sequence)?;
         self.is_silent = false;
-        Some((awaited.request, awaited.first_sent_at))
+        Some((pending.request, pending.first_sent_at))
     }
 }
 
@@ -109,6 +110,6 @@
 pub(super) enum LoanSource {
     /// The leader of the control group.
     Leader,
-    /// Another entry, or this one.
+    /// An entry, possibly this one.
     Entry(id::Instance),
 }
--- a/crates/cranberrygap-policy/src/limits/local_bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/local_bucket.rs
@@ -1,4 +1,4 @@
-//! What one entry holds of one workspace's bucket.
+//! Token bucket of one workspace at one entry: its share, its loans and its waiting requests.
 
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_wire::share;
@@ -11,22 +11,26 @@
 use super::refund_limit::RefundLimit;
 use super::wait_queue::{Forecast, WaitQueue};
 
-/// Time over which the asked rate is averaged. Long enough to smooth single
-/// requests, short enough to follow demand that moves between entries.
+/// Time constant of the moving average of demand.
+///
+/// Long enough to smooth single requests, short enough to follow demand that moves between
+/// entries.
 const DEMAND_TIME_CONSTANT: duration::Span = duration::Span::from_millis(1_500);
 
-/// Weight of one request in what a usual one costs.
+/// Weight of one request in the moving average of request costs.
 const COST_WEIGHT: f64 = 0.1;
 
-/// Space that stays free for accrual while an answer is awaited, as time of the
-/// share's own rate. Covers the usual round trip, so that no accrual is lost.
+/// Time of accrual for which space stays free while an answer is awaited.
+///
+/// Covers the usual round trip, so that no accrued tokens are lost.
 const ACCRUAL_RESERVE: duration::Span = duration::Span::from_millis(100);
 
-/// Time before its end at which a loan that nobody took is handed back.
+/// Time before a loan's end at which its unspent tokens are returned.
 const RETURN_BEFORE_END: duration::Span = duration::Span::from_millis(150);
 
-/// Time for which an entry that had nothing to lend is not asked again. The leader hands it
-/// over within some round trips.
+/// Time for which a lender that had nothing to lend is not asked again.
+///
+/// The leader leases the pool to it within some round trips.
 const DENIAL_DURATION: duration::Span = duration::Span::from_millis(200);
 
 #[derive(Debug, Clone, Default)]
@@ -36,28 +40,28 @@
     pub(super) cap: Amount,
     pub(super) level: Amount,
     pub(super) lease_end: duration::Instant,
-    /// Space kept free for tokens that may come with the awaited answer.
+    /// Space kept free for tokens that may arrive with the awaited answer.
     reserved_space: Amount,
-    /// Least space beside the tokens since the awaited answer was asked for.
+    /// Least free space since the awaited answer was requested.
     min_free_space: Amount,
-    /// Tokens to hand back with the next renewal, after the share shrank.
+    /// Tokens to return with the next renewal, after the share shrank.
     surplus: Amount,
-    /// The share changed and the leader does not know yet that it arrived.
+    /// Whether the share changed and the leader does not know yet that the change arrived.
     unconfirmed: bool,
     pub(super) queue: WaitQueue,
-    /// The entry that lends this workspace's tokens, if one does.
+    /// Entry that lends this workspace's tokens, if any.
     pub(super) lender: Option<id::Instance>,
-    /// Until when the leader is asked, since the entry that lends had nothing to lend.
+    /// Time until which the leader is asked because the lender had nothing to lend.
     denied_until: Option<duration::Instant>,
-    /// Whom the awaited answer about those in line is awaited from.
+    /// Lender whose answer about waiting requests is awaited.
     asked_source: Option<LoanSource>,
     loans: ReceivedLoans,
-    /// What the awaited answer was asked for: the first in line, and all.
+    /// Tokens that the first and all waiting requests lacked when the lender was asked.
     asked_shortage: (Amount, Amount),
     pub(super) forecast: Option<Forecast>,
-    /// What is handed back of loans when the holder closes.
+    /// Tokens of loans to return when the holder closes.
     returned_at_close: Amount,
-    /// Cost of a usual request of late.
+    /// Moving average of request costs.
     typical_cost: f64,
     accrued_at: duration::Instant,
     requested: Amount,
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Brings the stock up to `now`: the lease may have run out, else tokens accrue.
+    /// Advances the bucket to `now`: drops a share whose lease has run out, then accrues tokens.
     pub(super) fn advance(&mut self, now: duration::Instant) {
         if self.share != 0 && now >= self.lease_end {
             self.drop_share();
@@ -88,24 +92,24 @@
         self.observe_free_space();
     }
 
-    /// Tokens that may be spent.
+    /// Returns the tokens that may be spent.
     pub(super) fn available(&self) -> Amount {
         self.level.plus(self.loans.free())
     }
 
-    /// Takes `cost` if it is there.
+    /// Takes `cost` tokens if they are available.
     pub(super) fn take(&mut self, cost: Amount, number: u64) -> bool {
         if cost > self.available() {
             return false;
         }
-        // What is lent runs out soon, so it goes first.
+        // Loans end soon, so they are spent first.
         let lent = self.loans.take(number, cost);
         self.level = self.level.minus(cost.minus(lent));
         self.refunds.record_reservation(number, self.free_space());
         true
     }
 
-    /// Borrows from another lender from now on; it knows of nobody in line yet.
+    /// Sets another lender, which knows of no waiting request yet.
     pub(super) fn set_lender(&mut self, lender: Option<id::Instance>) {
         self.lender = lender;
         self.denied_until = None;
@@ -113,7 +117,7 @@
         self.queue.mark_new();
     }
 
-    /// `from` was asked and has nothing to lend; the leader may have the tokens meanwhile.
+    /// Records that `from` has nothing to lend; the leader may have the tokens meanwhile.
     pub(super) fn record_denial(&mut self, now: duration::Instant, from: &LoanSource) {
         self.denied_until = Some(now.after(DENIAL_DURATION));
         if self.asked_source.as_ref() == Some(from) {
@@ -123,48 +127,48 @@
         }
     }
 
-    /// When the entry that lends is to be asked again for those in line.
+    /// Returns when to ask the lender again for waiting requests.
     pub(super) fn retry_lender_at(&self) -> Option<duration::Instant> {
         self.denied_until.filter(|_| self.shortage() > Amount::ZERO)
     }
 
-    /// Whether the entry that lends is to be asked.
+    /// Returns whether loans are requested from the lender.
     pub(super) const fn borrows_from_lender(&self) -> bool {
         self.lender.is_some() && self.denied_until.is_none()
     }
 
-    /// Notes that callers asked for `cost`.
+    /// Records that callers requested `cost` tokens.
     pub(super) fn record_request(&mut self, cost: Amount) {
         self.requested = self.requested.plus(cost);
-        let part = if self.typical_cost > 0.0 {
+        let weight = if self.typical_cost > 0.0 {
             COST_WEIGHT
         } else {
             1.0
         };
-        self.typical_cost += (cost.as_f64() - self.typical_cost) * part;
+        self.typical_cost += (cost.as_f64() - self.typical_cost) * weight;
     }
 
-    /// Gives back the unused part of reservation `number`, as far as it may return.
+    /// Refunds the unused part of a reservation, as far as the refund limit allows.
     pub(super) fn refund(&mut self, number: u64, unused: Amount) {
         self.requested = self.requested.minus(unused);
         let unused = unused.minus(self.loans.close_reservation(number, unused));
-        // Tokens that are on their way here count as if they had arrived when they
-        // were asked for.
-        let open = self
+        // Tokens on their way to this entry count as if they had arrived when they were
+        // requested.
+        let unreserved = self
             .min_free_space
             .min(self.free_space())
             .minus(self.reserved_space);
         let limit = if self.reserved_space > Amount::ZERO {
-            open
+            unreserved
         } else {
             self.free_space()
         };
-        let back = self.refunds.refund(number, unused.min(limit));
-        self.level = self.level.plus(back);
+        let refund = self.refunds.refund(number, unused.min(limit));
+        self.level = self.level.plus(refund);
         self.observe_free_space();
     }
 
-    /// What the next renewal to the leader says; space is set aside for its answer.
+    /// Returns the demand for the next renewal, and reserves space for the tokens of its answer.
     pub(super) fn take_demand(
         &mut self,
         now: duration::Instant,
@@ -181,12 +185,12 @@
         self.min_free_space = self.free_space();
         self.unconfirmed = false;
         let returned = std::mem::take(&mut self.surplus).floor();
-        let closed = std::mem::take(&mut self.returned_at_close);
-        let soon = now.after(RENEWAL_INTERVAL);
+        let returned_at_close = std::mem::take(&mut self.returned_at_close);
+        let return_before = now.after(RENEWAL_INTERVAL);
         let unlent = self
             .loans
-            .take_ending(soon, &LoanSource::Leader)
-            .plus(closed);
+            .take_ending(return_before, &LoanSource::Leader)
+            .plus(returned_at_close);
         let (first, wanted) = self.record_asked(&LoanSource::Leader, borrows);
         share::Demand {
             workspace: workspace.clone(),
@@ -202,7 +206,7 @@
         }
     }
 
-    /// What the next question to the entry that lends says.
+    /// Returns the demand for the next loan request to the lender.
     pub(super) fn take_loan_demand(
         &mut self,
         now: duration::Instant,
@@ -227,7 +231,9 @@
         }
     }
 
-    /// What `source` is told that those in line lack: nothing, unless it is to lend it.
+    /// Records that `source` is asked; returns the tokens that the first and all requests lack.
+    ///
+    /// Both are zero unless `source` is to lend them.
     fn record_asked(&mut self, source: &LoanSource, borrows: bool) -> (Amount, Amount) {
         if !borrows {
             return (Amount::ZERO, Amount::ZERO);
@@ -242,7 +248,7 @@
         self.asked_shortage
     }
 
-    /// Takes over what an answer to a renewal sent at `sent` grants until `until`.
+    /// Applies what the answer to a renewal sent at `sent` grants until `until`.
     pub(super) fn apply(
         &mut self,
         now: duration::Instant,
@@ -271,7 +277,7 @@
         self.observe_free_space();
     }
 
-    /// Takes over what is lent until `until`, and when there is more for those in line.
+    /// Adds a loan that lasts until `until`, and the forecast for waiting requests.
     pub(super) fn add_loan(
         &mut self,
         now: duration::Instant,
@@ -296,32 +302,32 @@
         self.record_answer(&LoanSource::Leader);
     }
 
-    /// Those in line were told of, if this is whom they asked.
+    /// Marks waiting requests as answered if `from` was asked for them.
     pub(super) fn record_answer(&mut self, from: &LoanSource) {
         if self.asked_source.as_ref() == Some(from) {
             self.queue.mark_answered();
         }
     }
 
-    /// When a loan of `from` that nobody took is handed back.
+    /// Returns when unspent loans of `from` must be returned.
     pub(super) fn return_loans_at(&self, from: &LoanSource) -> Option<duration::Instant> {
         let end = self.loans.first_unspent_end(from)?;
         Some(duration::Instant(end.0.saturating_sub(RETURN_BEFORE_END.0)))
     }
 
-    /// Whether a question to `source` has anything to say of this workspace.
+    /// Returns whether a loan request to `source` has anything to report of this workspace.
     pub(super) fn has_report_for(&self, source: &LoanSource) -> bool {
         let asked = self.asked_source.as_ref() == Some(source);
         asked || self.shortage() > Amount::ZERO || self.loans.has_from(source)
     }
 
-    /// Whether the leader's answers carry anything for this workspace.
+    /// Returns whether the bucket holds a share or a loan of the leader.
     pub(super) fn holds_leader_tokens(&self) -> bool {
         let share = self.rate > FixedRate::ZERO || self.cap > Amount::ZERO;
         share || self.loans.has_from(&LoanSource::Leader)
     }
 
-    /// When the first in line can be served from accrual, or a deadline passes.
+    /// Returns when the first waiting request can be served from accrual, or a deadline passes.
     pub(super) fn next_decision_at(&self) -> Option<duration::Instant> {
         let first = self.queue.front()?;
         let served = self
@@ -331,33 +337,34 @@
         Some(served.min(deadline))
     }
 
-    /// Tokens that waiting requests lack.
+    /// Returns the tokens that waiting requests lack.
     pub(super) fn shortage(&self) -> Amount {
         self.queue.total_cost().minus(self.available())
     }
 
-    /// Tokens that the first of them lacks.
+    /// Returns the tokens that the first waiting request lacks.
     fn first_shortage(&self) -> Amount {
         let first = self.queue.front();
         first.map_or(Amount::ZERO, |first| first.cost.minus(self.available()))
     }
 
-    /// When the leader should be asked for what waiting requests lack.
+    /// Returns when to ask for the tokens that waiting requests lack.
     ///
-    /// It said when they may get it; asked earlier it would say the same again, and with
-    /// many entries above their rate it would do little else.
-    pub(super) fn next_request_at(&self, soonest: duration::Instant) -> Option<duration::Instant> {
+    /// An earlier answer forecast when they may be available; asked before that time, the
+    /// leader would give the same answer, and with many entries above their rate it would do
+    /// little else.
+    pub(super) fn next_request_at(&self, earliest: duration::Instant) -> Option<duration::Instant> {
         if self.shortage() == Amount::ZERO {
             return None;
         }
         if self.queue.has_new_requests() {
-            return Some(soonest);
+            return Some(earliest);
         }
-        let forecast = self.forecast.map(|outlook| outlook.first_at);
-        Some(forecast.unwrap_or(soonest).max(soonest))
+        let forecast = self.forecast.map(|forecast| forecast.first_at);
+        Some(forecast.unwrap_or(earliest).max(earliest))
     }
 
-    /// Stops admitting and offers all tokens for return.
+    /// Stops admitting requests and marks all tokens for return.
     pub(super) fn close(&mut self) {
         self.surplus = self.surplus.plus(self.level);
         self.returned_at_close = self.loans.close();
@@ -369,24 +376,24 @@
         self.refunds.clear();
     }
 
-    /// Whether the leader should hear soon of a changed share, so that another
-    /// entry may get what this one has no longer.
+    /// Returns whether the leader must soon learn of a changed share.
+    ///
+    /// Another entry may then get what this entry no longer has.
     pub(super) fn needs_confirmation(&self) -> bool {
         self.unconfirmed
     }
 
-    /// Whether there is nothing to hold, ask for or confirm.
+    /// Returns whether there is nothing to hold, request or confirm.
     pub(super) fn is_idle(&self) -> bool {
         let holds = self.rate > FixedRate::ZERO || self.cap > Amount::ZERO;
         let asks = self.requested > Amount::ZERO || !self.queue.is_empty() || self.demand >= 1.0;
         !holds && !asks && !self.unconfirmed && self.loans.is_empty()
     }
 
-    /// Forgets everything that the lease carried.
+    /// Drops the share and all its tokens and refunds when its lease has run out.
     ///
-    /// The leader may give rate and tokens of a lost share to another entry as
-    /// soon as the lease has run out. A holder that went on would be seen as a
-    /// workspace above its burst. Tokens and refunds end with the lease.
+    /// The leader may give rate and tokens of a lost share to another entry as soon as the
+    /// lease has run out. With a holder that went on, the workspace would exceed its burst.
     fn drop_share(&mut self) {
         self.share = 0;
         self.rate = FixedRate::ZERO;
@@ -402,7 +409,7 @@
         self.cap.minus(self.reserved_space)
     }
 
-    /// Space that is not taken by tokens, set aside or not.
+    /// Returns the space without tokens, reserved or not.
     fn free_space(&self) -> Amount {
         self.cap.minus(self.level)
     }
@@ -419,8 +426,8 @@
             return;
         }
         let asked = std::mem::take(&mut self.requested).as_f64() / span;
-        let part = 1.0 - (-span / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
-        self.demand += (asked - self.demand) * part;
+        let weight = 1.0 - (-span / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        self.demand += (asked - self.demand) * weight;
         self.measured_at = now;
     }
 }
--- a/crates/cranberrygap-policy/src/limits/owner.rs
+++ b/crates/cranberrygap-policy/src/limits/owner.rs
@@ -1,30 +1,30 @@
-//! Who holds a part of a workspace's rate and burst.
+//! Owner of a share of a workspace's rate and burst.
 
 use cranberrygap_model::{id, number};
 use cranberrygap_wire::share;
 
-/// A process, and what it holds the part for.
+/// A process, and the purpose of its share.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Owner {
-    /// The instance.
+    /// Instance that runs the process.
     pub(super) instance: id::Instance,
-    /// Its process.
+    /// Boot of the process.
     pub(super) boot: number::Boot,
-    /// Whether it lends to other entries, rather than admitting its own callers.
+    /// Whether the share is for lending to other entries rather than for the entry's own callers.
     pub(super) lends: bool,
 }
 
 impl Owner {
-    /// The sender of a renewal.
-    pub(super) fn from_renewal(renew: &share::Renew) -> Self {
+    /// Returns the sender of a renewal.
+    pub(super) fn from_renewal(renewal: &share::Renew) -> Self {
         Self {
-            instance: renew.instance.clone(),
-            boot: renew.boot,
-            lends: renew.lends,
+            instance: renewal.instance.clone(),
+            boot: renewal.boot,
+            lends: renewal.lends,
         }
     }
 
-    /// Whose share an entry of the log is on.
+    /// Returns the owner of a logged share.
     pub(super) fn from_allocation(allocation: &share::Allocation) -> Self {
         Self {
             instance: allocation.instance.clone(),
--- a/crates/cranberrygap-policy/src/limits/received_loans.rs
+++ b/crates/cranberrygap-policy/src/limits/received_loans.rs
@@ -1,4 +1,4 @@
-//! Tokens that an entry was lent, and the reservations made from them.
+//! Loans that an entry received, and the reservations made from them.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use super::amount::Amount;
 use super::loan_requests::LoanSource;
 
-/// Tokens of one answer, until when they may be spent, and who lent them.
+/// Remaining tokens of one loan, with its end and its lender.
 #[derive(Debug, Clone)]
 struct Loan {
     remaining: Amount,
@@ -16,16 +16,16 @@
     source: LoanSource,
 }
 
-/// What an entry was lent of one workspace's tokens.
+/// Loans that an entry received of one workspace's tokens.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReceivedLoans {
     free: SmallVec<[Loan; 4]>,
-    /// Parts of open reservations; they come back if the request does not run.
+    /// Parts of loans in open reservations, which return if the request does not run.
     reserved: BTreeMap<u64, SmallVec<[Loan; 2]>>,
 }
 
 impl ReceivedLoans {
-    /// Drops what has run out.
+    /// Drops loans that have ended.
     pub(super) fn expire(&mut self, now: duration::Instant) {
         self.free
             .retain(|loan| now < loan.end && loan.remaining > Amount::ZERO);
@@ -35,32 +35,32 @@
         });
     }
 
-    /// Tokens that may be spent.
+    /// Returns the tokens that may be spent.
     pub(super) fn free(&self) -> Amount {
         self.free
             .iter()
             .fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining))
     }
 
-    /// Tokens of one lender that may be spent or come back.
+    /// Returns the tokens of one lender that may be spent or may return from reservations.
     pub(super) fn held_from(&self, from: &LoanSource) -> Amount {
-        let open = self.reserved.values().flatten();
-        let all = self.free.iter().chain(open);
-        let lent = all.filter(|loan| loan.source == *from);
-        lent.fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining))
+        let reserved = self.reserved.values().flatten();
+        let all = self.free.iter().chain(reserved);
+        let loans = all.filter(|loan| loan.source == *from);
+        loans.fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining))
     }
 
-    /// Whether there is nothing.
+    /// Returns whether there are no loans or reservations from them.
     pub(super) fn is_empty(&self) -> bool {
         self.free.is_empty() && self.reserved.is_empty()
     }
 
-    /// Whether anything of one lender is there.
+    /// Returns whether any tokens of one lender remain.
     pub(super) fn has_from(&self, from: &LoanSource) -> bool {
         self.held_from(from) > Amount::ZERO
     }
 
-    /// Takes over what an answer lends.
+    /// Adds the loan of an answer.
     pub(super) fn add(&mut self, amount: Amount, until: duration::Instant, from: &LoanSource) {
         if amount > Amount::ZERO {
             self.free.push(Loan {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes up to `wanted` for reservation `number`, what runs out first before the rest.
+    /// Takes up to `wanted` tokens for reservation `number`, from the loans that end first.
     pub(super) fn take(&mut self, number: u64, wanted: Amount) -> Amount {
         let mut missing = wanted;
         let mut parts = SmallVec::new();
@@ -93,46 +93,46 @@
         wanted.minus(missing)
     }
 
-    /// Ends a reservation; up to `unused` of what it took comes back, if its loan lives.
+    /// Ends a reservation; up to `unused` tokens return to loans that have not ended.
     pub(super) fn close_reservation(&mut self, number: u64, unused: Amount) -> Amount {
-        let mut back = Amount::ZERO;
+        let mut returned = Amount::ZERO;
         for loan in self.reserved.remove(&number).unwrap_or_default() {
-            let part = unused.minus(back).min(loan.remaining);
+            let part = unused.minus(returned).min(loan.remaining);
             self.add(part, loan.end, &loan.source);
-            back = back.plus(part);
+            returned = returned.plus(part);
         }
-        back
+        returned
     }
 
-    /// When the first loan of a lender runs out that nobody has taken.
+    /// Returns the earliest end of a lender's loans with unspent whole tokens.
     pub(super) fn first_unspent_end(&self, from: &LoanSource) -> Option<duration::Instant> {
         let free = self.free.iter();
-        let lent = free.filter(|loan| loan.source == *from && loan.remaining.floor().0 > 0);
-        lent.map(|loan| loan.end).min()
+        let loans = free.filter(|loan| loan.source == *from && loan.remaining.floor().0 > 0);
+        loans.map(|loan| loan.end).min()
     }
 
-    /// Takes out what one lender lent and what would run out before `soon`.
-    pub(super) fn take_ending(&mut self, soon: duration::Instant, from: &LoanSource) -> Amount {
-        let mut back = Amount::ZERO;
+    /// Removes and returns one lender's tokens whose loans end before `deadline`.
+    pub(super) fn take_ending(&mut self, deadline: duration::Instant, from: &LoanSource) -> Amount {
+        let mut returned = Amount::ZERO;
         for loan in &mut self.free {
-            if loan.end < soon && loan.source == *from {
-                back = back.plus(loan.remaining);
+            if loan.end < deadline && loan.source == *from {
+                returned = returned.plus(loan.remaining);
                 loan.remaining = Amount::ZERO;
             }
         }
-        // Tokens go as whole ones; the rest of one stays here and runs out.
-        let whole = Amount::from_count(back.floor());
+        // Only whole tokens are returned; a remaining fraction ends with its loan.
+        let whole = Amount::from_count(returned.floor());
         self.free.retain(|loan| loan.remaining > Amount::ZERO);
         whole
     }
 
-    /// Takes out everything, and forgets the reservations; gives what the leader lent.
+    /// Drops all loans and reservations; returns the tokens that the leader lent.
     pub(super) fn close(&mut self) -> Amount {
         let free = self.free.iter();
-        let lent = free.filter(|loan| loan.source == LoanSource::Leader);
-        let back = lent.fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining));
+        let loans = free.filter(|loan| loan.source == LoanSource::Leader);
+        let returned = loans.fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining));
         self.free.clear();
         self.reserved.clear();
-        Amount::from_count(back.floor())
+        Amount::from_count(returned.floor())
     }
 }
--- a/crates/cranberrygap-policy/src/limits/refund_limit.rs
+++ b/crates/cranberrygap-policy/src/limits/refund_limit.rs
@@ -1,23 +1,23 @@
-//! How much of each open reservation may still be refunded.
+//! Limits on the refunds of open reservations.
 
 use std::collections::VecDeque;
 
 use super::amount::Amount;
 
-/// Groups kept at most; the reservations of older groups get no refund.
+/// Most groups that are kept; reservations of older groups get no refund.
 const MAX_GROUPS: usize = 4096;
 
 /// Least free space of a share since each open reservation was made.
 ///
-/// A request reserves its upper bound and gives the rest back at its end. Had it
-/// reserved less from the start, the share might have been full in between and
-/// tokens would have overflowed. A refund of such tokens lets a workspace spend
-/// more than its burst after long requests end together. So a refund is at most
-/// the least free space since the reservation: just what the share would hold
-/// had the smaller amount been taken from the start.
+/// A request reserves its upper bound and returns the rest at its end. Had it reserved less
+/// from the start, the share might have been full in between and tokens would have
+/// overflowed. A refund of such tokens would let a workspace spend more than its burst after
+/// long requests end together. So a refund is at most the least free space since the
+/// reservation, which leaves the share with exactly the tokens it would hold had the smaller
+/// amount been reserved.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RefundLimit {
-    /// From old to new; the space only grows along the queue.
+    /// Groups from old to new; the space only grows along the queue.
     groups: VecDeque<Group>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl RefundLimit {
-    /// Notes the free space of the share at this moment.
+    /// Records the current free space of the share.
     pub(super) fn observe_free_space(&mut self, free: Amount) {
         let mut first = None;
         while let Some(group) = self.groups.back() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes reservation `number`, after which `free` space is left in the share.
+    /// Records reservation `number`, which leaves `free` space in the share.
     pub(super) fn record_reservation(&mut self, number: u64, free: Amount) {
         if self
             .groups
@@ -79,7 +79,7 @@
         refund
     }
 
-    /// Ends all claims to refunds; the share that they came from is gone.
+    /// Ends all rights to refunds, because their share is gone.
     pub(super) fn clear(&mut self) {
         self.groups.clear();
     }
--- a/crates/cranberrygap-policy/src/limits/renewals.rs
+++ b/crates/cranberrygap-policy/src/limits/renewals.rs
@@ -2,10 +2,10 @@
 
 use cranberrygap_model::{duration, number};
 
-/// The last renewal, and whether its answer is awaited.
+/// Last renewal, and whether its answer is awaited.
 ///
-/// An answer to any but the awaited one is dropped, so that the leader can take what the
-/// next renewal says for all that its sender has.
+/// An answer to any but the awaited one is dropped, so that the leader can take the next
+/// renewal as a complete report of what its sender has.
 #[derive(Debug, Default)]
 pub(super) struct Renewals {
     sequence: number::Sequence,
@@ -15,18 +15,18 @@
 }
 
 impl Renewals {
-    /// Number of the last message.
+    /// Returns the number of the last message.
     pub(super) const fn sequence(&self) -> number::Sequence {
         self.sequence
     }
 
-    /// Numbers the next message.
+    /// Returns the number for the next message.
     pub(super) fn next_sequence(&mut self) -> number::Sequence {
         self.sequence = self.sequence.next();
         self.sequence
     }
 
-    /// A renewal is sent; an answer that is still awaited is given up.
+    /// Starts a renewal and gives up an answer that is still awaited.
     pub(super) fn begin(&mut self, now: duration::Instant) -> number::Sequence {
         let sequence = self.next_sequence();
         self.sent_at = Some(now);
@@ -35,29 +35,29 @@
         sequence
     }
 
-    /// Takes an answer; gives when its renewal was sent, if it is the awaited one.
+    /// Takes an answer; returns when its renewal was sent if the answer is the awaited one.
     pub(super) fn take_answer(&mut self, sequence: number::Sequence) -> Option<duration::Instant> {
         self.awaited.take_if(|awaited| *awaited == sequence)?;
         self.sent_at
     }
 
-    /// Notes that a renewal got no answer.
+    /// Records that a renewal got no answer.
     pub(super) fn fail(&mut self, sequence: number::Sequence) {
         let given_up = self.awaited.take_if(|awaited| *awaited == sequence);
         self.failed |= given_up.is_some();
     }
 
-    /// When the last renewal was sent.
+    /// Returns when the last renewal was sent.
     pub(super) const fn sent_at(&self) -> Option<duration::Instant> {
         self.sent_at
     }
 
-    /// Whether an answer is awaited.
+    /// Returns whether an answer is awaited.
     pub(super) const fn is_awaited(&self) -> bool {
         self.awaited.is_some()
     }
 
-    /// Whether the last renewal got no answer, so that there may be no leader now.
+    /// Returns whether the last renewal got no answer, so that there may be no leader now.
     pub(super) const fn has_failed(&self) -> bool {
         self.failed
     }
--- a/crates/cranberrygap-policy/src/limits/wait_queue.rs
+++ b/crates/cranberrygap-policy/src/limits/wait_queue.rs
@@ -1,4 +1,6 @@
-//! Requests of one workspace that wait for tokens, first come first served but for small ones.
+//! Queue of one workspace's requests that wait for tokens.
+//!
+//! It is first come, first served, except that small requests may overtake large ones.
 
 use std::collections::VecDeque;
 
@@ -6,36 +8,37 @@
 
 use super::amount::{Amount, FixedRate};
 
-/// How many times smaller than the first in line a request must be to go before it.
+/// Factor by which a request must be smaller than a queued one to overtake it.
 const OVERTAKE_FACTOR: u64 = 3;
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiter {
     pub(super) ticket: u64,
     pub(super) cost: Amount,
-    /// Until when it waits behind others, and until when for the leader's word.
+    /// Time until which the request waits behind others.
     pub(super) queue_deadline: duration::Instant,
+    /// Time until which the request waits for the leader's answer.
     pub(super) leader_deadline: duration::Instant,
     stage: Stage,
-    /// What small requests that came later have taken before it.
+    /// Tokens of smaller requests that overtook this one.
     overtaken: Amount,
 }
 
-/// How long a request waits for its tokens.
+/// Longest waits of a request for its tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MaxWait {
-    /// How long it waits if the leader says that others come first.
+    /// Longest wait once the leader has answered that other requests come first.
     ///
-    /// A workspace that asks for more than its rate has requests in line all the time. Its
-    /// tokens serve as many whether these wait for long or not; after a long wait each of
-    /// them is late, after a short one those that are served are in time.
+    /// A workspace above its rate always has requests in the queue. Its tokens serve as many
+    /// requests whether these wait for long or not; after a long wait each one is late, while
+    /// after a short wait those that are served are in time.
     pub in_queue: duration::Span,
-    /// How long it waits for the leader's word.
+    /// Longest wait for the leader's answer.
     pub for_leader: duration::Span,
 }
 
 impl MaxWait {
-    /// The same for both.
+    /// Sets both waits to `span`.
     #[must_use]
     pub const fn uniform(span: duration::Span) -> Self {
         Self {
@@ -45,7 +48,7 @@
     }
 }
 
-/// How far the leader's view of a waiting request has come.
+/// Whether the lender knows of a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     New,
@@ -59,24 +62,26 @@
     total_cost: Amount,
 }
 
-/// When waiting requests may get their tokens, as the leader said.
+/// Forecast of the leader when waiting requests may get their tokens.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Forecast {
-    /// Tokens short of the first in line at that time, and of all.
+    /// Tokens that the first request lacked when it was made.
     pub(super) first_shortage: Amount,
+    /// Tokens that all requests lacked then.
     pub(super) total_shortage: Amount,
-    /// When these may be there.
+    /// Time at which the first request's tokens may be available.
     pub(super) first_at: duration::Instant,
+    /// Time at which the tokens of all requests may be available.
     pub(super) all_at: duration::Instant,
 }
 
 impl Forecast {
-    /// When so many tokens may have come.
-    pub(super) fn available_at(&self, short: Amount) -> duration::Instant {
-        if short <= self.first_shortage {
+    /// Returns the time at which `shortage` tokens may be available.
+    pub(super) fn available_at(&self, shortage: Amount) -> duration::Instant {
+        if shortage <= self.first_shortage {
             return self.first_at;
         }
-        let more = short.minus(self.first_shortage).as_f64();
+        let more = shortage.minus(self.first_shortage).as_f64();
         let rest = self
             .total_shortage
             .minus(self.first_shortage)
@@ -87,16 +92,16 @@
     }
 }
 
-/// Whether a request may go before one that came earlier and costs `first`, which
-/// others that cost `passed` have overtaken already.
+/// Returns whether a request of `cost` tokens may overtake one that arrived earlier.
 ///
-/// A booking costs a few tokens, a prompt thousands. In line behind prompts each
-/// booking of a workspace above its rate would be late, though the tokens that it
-/// needs are there most of the time. What goes before a request costs no more than
-/// that one itself, so that small requests hold up no large one for good.
-pub(super) fn may_overtake(cost: Amount, first: Amount, passed: Amount) -> bool {
-    let small = cost.0.saturating_mul(OVERTAKE_FACTOR) <= first.0;
-    small && passed.plus(cost) <= first
+/// The earlier request costs `earlier_cost` tokens, and requests of `overtaken` tokens have
+/// overtaken it already. A booking costs a few tokens, a prompt thousands. Behind prompts,
+/// each booking of a workspace above its rate would be late, although the tokens it needs are
+/// available most of the time. Requests that overtake another one cost no more than that one
+/// in total, so that small requests delay no large one forever.
+pub(super) fn may_overtake(cost: Amount, earlier_cost: Amount, overtaken: Amount) -> bool {
+    let is_small = cost.0.saturating_mul(OVERTAKE_FACTOR) <= earlier_cost.0;
+    is_small && overtaken.plus(cost) <= earlier_cost
 }
 
 impl WaitQueue {
@@ -109,14 +114,14 @@
     ) {
         self.total_cost = self.total_cost.plus(cost);
         let mut index = self.waiters.len();
-        while let Some(before) = index
+        while let Some(earlier) = index
             .checked_sub(1)
-            .and_then(|place| self.waiters.get_mut(place))
+            .and_then(|index| self.waiters.get_mut(index))
         {
-            if !may_overtake(cost, before.cost, before.overtaken) {
+            if !may_overtake(cost, earlier.cost, earlier.overtaken) {
                 break;
             }
-            before.overtaken = before.overtaken.plus(cost);
+            earlier.overtaken = earlier.overtaken.plus(cost);
             index -= 1;
         }
         let waiter = Waiter {
@@ -140,20 +145,20 @@
         }
     }
 
-    /// Whether a request may take tokens that are there though others wait.
+    /// Returns whether a request may take available tokens although others wait.
     pub(super) fn may_overtake_all(&self, cost: Amount) -> bool {
         let mut waiters = self.waiters.iter();
         waiters.all(|waiter| may_overtake(cost, waiter.cost, waiter.overtaken))
     }
 
-    /// A request has gone before those in line.
+    /// Records that a request overtook all queued ones.
     pub(super) fn record_overtaking(&mut self, cost: Amount) {
         for waiter in &mut self.waiters {
             waiter.overtaken = waiter.overtaken.plus(cost);
         }
     }
 
-    /// Whether some in line are not known to the leader.
+    /// Returns whether the lender does not know of some queued requests.
     pub(super) fn has_new_requests(&self) -> bool {
         self.waiters.iter().any(|waiter| waiter.stage == Stage::New)
     }
@@ -166,7 +171,7 @@
         self.waiters.is_empty()
     }
 
-    /// Takes a request out whose caller has left.
+    /// Removes the request of a caller that left.
     pub(super) fn remove(&mut self, ticket: u64) {
         let total = &mut self.total_cost;
         self.waiters.retain(|waiter| {
@@ -178,14 +183,14 @@
         });
     }
 
-    /// Whoever was asked for those in line lends no more.
+    /// Marks all requests as new, because the lender that was asked lends no more.
     pub(super) fn mark_new(&mut self) {
         for waiter in &mut self.waiters {
             waiter.stage = Stage::New;
         }
     }
 
-    /// A renewal leaves that asks for what all in line lack.
+    /// Marks new requests as asked for, as a renewal or loan request is sent for all of them.
     pub(super) fn mark_asked(&mut self) {
         for waiter in &mut self.waiters {
             if waiter.stage == Stage::New {
@@ -194,7 +199,7 @@
         }
     }
 
-    /// The answer to the last renewal has come.
+    /// Marks requests as answered when the answer has arrived.
     pub(super) fn mark_answered(&mut self) {
         for waiter in &mut self.waiters {
             if waiter.stage == Stage::Asked {
@@ -203,10 +208,10 @@
         }
     }
 
-    /// Takes out who cannot be served in time, with the time until it could be.
+    /// Removes requests that cannot be served in time, with the time until they could be.
     ///
-    /// A request that the leader's answer did not help, and that neither the share's own
-    /// rate nor the pool will help before its deadline, is given up at once.
+    /// A request is refused at once if the leader's answer did not help and neither the
+    /// share's own rate nor the pool will help before its deadline.
     pub(super) fn remove_unservable(
         &mut self,
         now: duration::Instant,
@@ -219,11 +224,11 @@
         let mut total = self.total_cost;
         self.waiters.retain(|waiter| {
             let needs = ahead.plus(waiter.cost);
-            let short = needs.minus(level);
-            let accrued_at = now.after(rate.time_to_accrue(short));
-            // Without a word from the leader on those that still wait it may well have
-            // tokens: others have taken here what came for them.
-            let lent_at = forecast.map_or(now, |outlook| outlook.available_at(short));
+            let shortage = needs.minus(level);
+            let accrued_at = now.after(rate.time_to_accrue(shortage));
+            // Without a forecast for the remaining requests, the leader may well have tokens:
+            // other requests took the ones that arrived.
+            let lent_at = forecast.map_or(now, |forecast| forecast.available_at(shortage));
             let served_at = accrued_at.min(lent_at);
             let is_late = served_at > waiter.queue_deadline;
             let is_answered = waiter.stage == Stage::Answered;
--- a/crates/cranberrygap-policy/tests/limits_lending.rs
+++ b/crates/cranberrygap-policy/tests/limits_lending.rs
@@ -31,9 +31,9 @@
 }
 
 fn lender() -> lending::Lender {
-    let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
-    lending.set_workspaces(at(0), &[workspace()]);
-    lending
+    let mut lender = lending::Lender::new(name("lender"), number::Boot(1));
+    lender.set_workspaces(at(0), &[workspace()]);
+    lender
 }
 
 fn entry(text: &str) -> holder::Holder {
@@ -43,36 +43,36 @@
     holder
 }
 
-fn renew(lending: &mut lending::Lender, granter: &mut granter::Granter, now: duration::Instant) {
-    let renewal = lending.begin_renewal(now);
+fn renew(lender: &mut lending::Lender, granter: &mut granter::Granter, now: duration::Instant) {
+    let renewal = lender.begin_renewal(now);
     let answer = granter
         .renew(now, &renewal)
         .expect("renewals come in order");
-    assert!(lending.apply_grants(now, &answer.granted));
+    assert!(lender.apply_grants(now, &answer.granted));
 }
 
 fn request(holder: &mut holder::Holder, now: duration::Instant, cost: u64) -> bool {
-    let patience = holder::MaxWait::uniform(duration::Span::from_millis(500));
-    let verdict = holder.admit(now, &workspace(), token::Count(cost), patience);
-    matches!(verdict, holder::Admission::Admitted(_))
+    let max_wait = holder::MaxWait::uniform(duration::Span::from_millis(500));
+    let admission = holder.admit(now, &workspace(), token::Count(cost), max_wait);
+    matches!(admission, holder::Admission::Admitted(_))
 }
 
-/// A request whose tokens are not there.
-fn ask(holder: &mut holder::Holder, now: duration::Instant, cost: u64) {
+/// Makes a request whose tokens are not available.
+fn request_unavailable(holder: &mut holder::Holder, now: duration::Instant, cost: u64) {
     assert!(!request(holder, now, cost));
 }
 
-/// Sends all questions that are due; gives how many requests were admitted then.
+/// Sends all loan requests that are due; returns how many requests were admitted then.
 fn borrow(
     holder: &mut holder::Holder,
-    lending: &mut lending::Lender,
+    lender: &mut lending::Lender,
     now: duration::Instant,
 ) -> usize {
-    for (to, question) in holder.due_loan_requests(now) {
+    for (to, loan_request) in holder.due_loan_requests(now) {
         assert_eq!(to, name("lender"));
-        let answer = lending
-            .answer(now, &question)
-            .expect("questions come in order");
+        let answer = lender
+            .answer_loan_request(now, &loan_request)
+            .expect("loan requests come in order");
         holder.apply_loans(now, &to, &answer);
     }
     let decisions = holder.poll(now).into_iter();
@@ -84,30 +84,30 @@
 // A request must get its tokens while the leader does not answer at all.
 #[test]
 fn request_is_admitted_while_the_leader_is_silent() {
-    let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
-    renew(&mut lending, &mut granter, at(0));
+    let (mut granter, mut lender, mut holder) = (leader(), lender(), entry("a"));
+    renew(&mut lender, &mut granter, at(0));
 
     let mut admitted = 0;
     for millis in (100..2_000).step_by(100) {
         admitted += usize::from(request(&mut holder, at(millis), 2_000));
-        admitted += borrow(&mut holder, &mut lending, at(millis));
+        admitted += borrow(&mut holder, &mut lender, at(millis));
     }
 
     assert_eq!(admitted, 19);
 }
 
-// A renewal must not ask the leader for what another entry lends.
+// A renewal must not ask the leader for tokens that another entry lends.
 #[test]
 fn leader_is_not_asked_for_what_an_entry_lends() {
-    let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
-    renew(&mut lending, &mut granter, at(0));
+    let (mut granter, mut lender, mut holder) = (leader(), lender(), entry("a"));
+    renew(&mut lender, &mut granter, at(0));
     let renewal = holder.begin_renewal(at(0));
     let answer = granter
         .renew(at(0), &renewal)
         .expect("renewals come in order");
     holder.apply_grants(at(0), &answer.granted);
 
-    ask(&mut holder, at(100), 2_000);
+    request_unavailable(&mut holder, at(100), 2_000);
 
     assert!(
         holder.next_renewal_at() > at(500),
@@ -117,7 +117,7 @@
     assert_eq!(holder.next_loan_request_at(), Some(at(0)));
 }
 
-// An idle entry must not take up the leader's time.
+// An idle entry must not use the leader's time.
 #[test]
 fn entry_without_demand_renews_nothing() {
     let (mut granter, mut holder) = (leader(), entry("a"));
@@ -130,7 +130,7 @@
     assert!(holder.next_renewal_at() > at(3_600_000));
 }
 
-// A share that was closed must not go on being renewed as if it were one.
+// A closed share must not be renewed as if it still existed.
 #[test]
 fn closed_share_is_not_renewed() {
     let (mut granter, mut holder) = (leader(), entry("a"));
@@ -144,7 +144,7 @@
     }
     let had_a_share = holder.dump()[0].cap.0 > 0;
 
-    // Another entry lends, and the demand falls to requests too large for a share.
+    // Another entry lends, and the demand changes to requests too large for a share.
     let others: Vec<holder::Holder> = (0..60)
         .map(|number| entry(&format!("e-{number}")))
         .collect();
@@ -170,14 +170,15 @@
     );
 }
 
-// An entry whose lease has run out must not lend: the leader may have given its tokens away.
+// A lender whose lease has run out must not lend: the leader may have granted its tokens to
+// another entry.
 #[test]
 fn nothing_is_lent_beyond_the_lease() {
-    let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
-    renew(&mut lending, &mut granter, at(0));
+    let (mut granter, mut lender, mut holder) = (leader(), lender(), entry("a"));
+    renew(&mut lender, &mut granter, at(0));
 
-    ask(&mut holder, at(2_990), 2_000);
-    let admitted = borrow(&mut holder, &mut lending, at(2_990));
+    request_unavailable(&mut holder, at(2_990), 2_000);
+    let admitted = borrow(&mut holder, &mut lender, at(2_990));
 
     assert_eq!(admitted, 0);
 }
@@ -185,67 +186,71 @@
 // A loan that is made late in a lease must end with it.
 #[test]
 fn loan_ends_with_the_lease_that_it_is_lent_from() {
-    let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
-    renew(&mut lending, &mut granter, at(0));
-    ask(&mut holder, at(2_700), 2_000);
-    let question = holder.due_loan_requests(at(2_700)).remove(0).1;
+    let (mut granter, mut lender, mut holder) = (leader(), lender(), entry("a"));
+    renew(&mut lender, &mut granter, at(0));
+    request_unavailable(&mut holder, at(2_700), 2_000);
+    let loan_request = holder.due_loan_requests(at(2_700)).remove(0).1;
 
-    let answer = lending
-        .answer(at(2_700), &question)
+    let answer = lender
+        .answer_loan_request(at(2_700), &loan_request)
         .expect("it is the first");
 
     assert!(answer.grants[0].lent.0 >= 2_000);
     assert!(at(2_700).after(answer.lease) < at(3_000));
 }
 
-// A question that is sent again because its answer was lost must not be lent to twice.
+// A loan request that is sent again because its answer was lost must not get a second loan.
 #[test]
-fn repeated_question_gets_the_same_tokens() {
-    let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
-    renew(&mut lending, &mut granter, at(0));
-    ask(&mut holder, at(100), 2_000);
+fn repeated_loan_request_gets_the_same_tokens() {
+    let (mut granter, mut lender, mut holder) = (leader(), lender(), entry("a"));
+    renew(&mut lender, &mut granter, at(0));
+    request_unavailable(&mut holder, at(100), 2_000);
     let first = holder.due_loan_requests(at(100)).remove(0).1;
     let again = holder.due_loan_requests(at(130)).remove(0).1;
 
-    let one = lending.answer(at(101), &first).expect("it is the first");
-    let before = lending.dump()[0].level;
-    let other = lending.answer(at(131), &again).expect("it is the same");
+    let first_answer = lender
+        .answer_loan_request(at(101), &first)
+        .expect("it is the first");
+    let before = lender.dump()[0].level;
+    let other = lender
+        .answer_loan_request(at(131), &again)
+        .expect("it is the same");
 
     assert_eq!(first, again);
-    assert_eq!(one, other);
-    assert!(lending.dump()[0].level >= before);
+    assert_eq!(first_answer, other);
+    assert!(lender.dump()[0].level >= before);
 }
 
-// A lender that another one follows has loans out that may still be spent; the next one must
-// not get their room before they have ended.
+// A lender that is replaced has loans that may still be spent; its successor must not get
+// their tokens before these loans have ended.
 #[test]
-fn successor_gets_no_room_of_loans_that_may_be_spent() {
-    let (mut granter, mut lending, mut holder) = (leader(), lender(), entry("a"));
-    renew(&mut lending, &mut granter, at(0));
-    ask(&mut holder, at(100), 60_000);
-    borrow(&mut holder, &mut lending, at(100));
+fn successor_gets_no_tokens_of_loans_that_may_be_spent() {
+    let (mut granter, mut lender, mut holder) = (leader(), lender(), entry("a"));
+    renew(&mut lender, &mut granter, at(0));
+    request_unavailable(&mut holder, at(100), 60_000);
+    borrow(&mut holder, &mut lender, at(100));
     let mut next = lending::Lender::new(name("next"), number::Boot(2));
     next.set_workspaces(at(110), &[workspace()]);
     granter.set_lender(&workspace(), Some(&name("next")));
-    lending.set_workspaces(at(110), &[]);
+    lender.set_workspaces(at(110), &[]);
 
-    renew(&mut lending, &mut granter, at(120));
-    renew(&mut lending, &mut granter, at(130));
+    renew(&mut lender, &mut granter, at(120));
+    renew(&mut lender, &mut granter, at(130));
     renew(&mut next, &mut granter, at(140));
     let held = next.dump()[0].cap.0;
 
     assert!(held <= BURST - 60_000, "{held}");
-    renew(&mut lending, &mut granter, at(800));
-    renew(&mut lending, &mut granter, at(810));
+    renew(&mut lender, &mut granter, at(800));
+    renew(&mut lender, &mut granter, at(810));
     renew(&mut next, &mut granter, at(820));
     assert_eq!(next.dump()[0].cap.0, BURST);
 }
 
-// A new leader that did not count what an entry may lend would give it out once more.
+// A new leader that did not count what a lender holds would grant it a second time.
 #[test]
 fn new_leader_counts_what_an_entry_lends() {
-    let (mut granter, mut lending) = (leader(), lender());
-    let renewal = lending.begin_renewal(at(0));
+    let (mut granter, mut lender) = (leader(), lender());
+    let renewal = lender.begin_renewal(at(0));
     let answer = granter
         .renew(at(0), &renewal)
         .expect("renewals come in order");
@@ -253,9 +258,14 @@
         rate: token::Rate(100_000.0),
         burst: token::Count(BURST),
     };
-    let known = BTreeMap::from([(workspace(), limit)]);
+    let limits_by_workspace = BTreeMap::from([(workspace(), limit)]);
 
-    let successor = granter::Granter::new(at(500), number::Term(2), &known, &answer.allocations);
+    let successor = granter::Granter::new(
+        at(500),
+        number::Term(2),
+        &limits_by_workspace,
+        &answer.allocations,
+    );
 
     let dump = &successor.dump()[0];
     assert_eq!(dump.cap.0, BURST);
@@ -269,7 +279,7 @@
     let mut holder = entry("a");
     let idle = holder.begin_renewal(at(0));
     holder.fail_renewal(idle.sequence);
-    ask(&mut holder, at(1_000), 2_000);
+    request_unavailable(&mut holder, at(1_000), 2_000);
 
     for millis in 1_000..1_200 {
         holder.due_loan_requests(at(millis));
@@ -279,11 +289,11 @@
     assert_eq!(renewal.demands[0].first.0, 2_000);
 }
 
-// A restarted process must not wait for the lease of the one before it.
+// A restarted process must not wait for the lease of its predecessor.
 #[test]
 fn restarted_lender_lends_again_before_the_old_lease_ends() {
-    let (mut granter, mut lending) = (leader(), lender());
-    renew(&mut lending, &mut granter, at(0));
+    let (mut granter, mut lender) = (leader(), lender());
+    renew(&mut lender, &mut granter, at(0));
     let mut restarted = lending::Lender::new(name("lender"), number::Boot(2));
     restarted.set_workspaces(at(300), &[workspace()]);
 
@@ -304,27 +314,28 @@
     let chosen = BTreeMap::from([(workspace(), name("b"))]);
     let workspaces = [workspace()];
 
-    let fit = candidates(&["a", "b", "c"]);
-    let stays = assignment::changes(workspaces.iter(), &chosen, &fit, |_| false);
+    let eligible = candidates(&["a", "b", "c"]);
+    let stays = assignment::changes(workspaces.iter(), &chosen, &eligible, |_| false);
     let gone = assignment::changes(workspaces.iter(), &chosen, &candidates(&["a"]), |_| false);
-    let lost = assignment::changes(workspaces.iter(), &chosen, &fit, |_| true);
+    let lost = assignment::changes(workspaces.iter(), &chosen, &eligible, |_| true);
 
     assert!(stays.is_empty());
     assert_eq!(gone[0].instance, Some(name("a")));
     assert!(lost[0].instance.is_some() && lost[0].instance != Some(name("b")));
 }
 
-// One entry that lends for most workspaces would be the next process that all wait for.
+// An entry that lends for most workspaces would be the next process that all requests wait
+// for.
 #[test]
 fn workspaces_are_spread_over_entries() {
     let workspaces: Vec<id::Workspace> = (0..12)
         .map(|number| format!("rink-{number}").parse().expect("a valid name"))
         .collect();
-    let fit = candidates(&["a", "b", "c", "d"]);
+    let eligible = candidates(&["a", "b", "c", "d"]);
 
-    let chosen = assignment::changes(workspaces.iter(), &BTreeMap::new(), &fit, |_| false);
+    let chosen = assignment::changes(workspaces.iter(), &BTreeMap::new(), &eligible, |_| false);
 
-    for instance in fit.keys() {
+    for instance in eligible.keys() {
         let lent = chosen
             .iter()
             .filter(|lender| lender.instance.as_ref() == Some(instance));
--- a/crates/cranberrygap-policy/tests/limits_many_workspaces.rs
+++ b/crates/cranberrygap-policy/tests/limits_many_workspaces.rs
@@ -1,4 +1,4 @@
-//! One entry that lends for more workspaces than one question has room for.
+//! A lender of more workspaces than fit into one loan request.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 
 const BURST: u64 = 100_000;
 const COST: u64 = 2_000;
-const END: u64 = 5_000;
-const PERIOD: u64 = 250;
+const END_MILLIS: u64 = 5_000;
+const REQUEST_INTERVAL_MILLIS: u64 = 250;
 
 fn at(millis: u64) -> duration::Instant {
     duration::Instant(millis * 1_000)
@@ -18,7 +18,7 @@
     "lender".parse().expect("a valid name")
 }
 
-fn named(count: usize) -> Vec<id::Workspace> {
+fn workspaces_named(count: usize) -> Vec<id::Workspace> {
     let names = (0..count).map(|number| format!("rink-{number:02}"));
     names
         .map(|name| name.parse().expect("a valid name"))
@@ -38,37 +38,40 @@
     granter
 }
 
-/// Requests that each workspace's caller sent in turn, one after the other, and those that
-/// were admitted, in a fleet whose links and processes are all sound.
-fn admitted(workspaces: &[id::Workspace]) -> BTreeMap<id::Workspace, usize> {
+/// Returns the number of admitted requests of each workspace.
+///
+/// Each caller sends one request after the other, and all links and processes are sound.
+fn count_admitted(workspaces: &[id::Workspace]) -> BTreeMap<id::Workspace, usize> {
     let mut granter = leader(workspaces);
-    let mut lending = lending::Lender::new(lender_name(), number::Boot(1));
-    lending.set_workspaces(at(0), workspaces);
+    let mut lender = lending::Lender::new(lender_name(), number::Boot(1));
+    lender.set_workspaces(at(0), workspaces);
     let mut holder = holder::Holder::new("a".parse().expect("a valid name"), number::Boot(7));
     let lenders = workspaces.iter().cloned();
     let lenders: BTreeMap<_, _> = lenders.map(|name| (name, lender_name())).collect();
     holder.set_lenders(at(0), &lenders);
-    let patience = holder::MaxWait::uniform(duration::Span::from_millis(1_000));
+    let max_wait = holder::MaxWait::uniform(duration::Span::from_millis(1_000));
     let names = workspaces.iter().cloned();
     let mut admitted: BTreeMap<_, usize> = names.map(|name| (name, 0)).collect();
     let mut tickets: BTreeMap<u64, id::Workspace> = BTreeMap::new();
-    for millis in (0..END).step_by(5) {
+    for millis in (0..END_MILLIS).step_by(5) {
         let now = at(millis);
-        if lending.next_renewal_at() <= now {
-            let renewal = lending.begin_renewal(now);
+        if lender.next_renewal_at() <= now {
+            let renewal = lender.begin_renewal(now);
             let answer = granter.renew(now, &renewal).expect("in order");
-            lending.apply_grants(now, &answer.granted);
+            lender.apply_grants(now, &answer.granted);
         }
-        if millis % PERIOD == 0 {
+        if millis % REQUEST_INTERVAL_MILLIS == 0 {
             for workspace in workspaces.iter().cloned() {
-                match holder.admit(now, &workspace, token::Count(COST), patience) {
+                match holder.admit(now, &workspace, token::Count(COST), max_wait) {
                     holder::Admission::Admitted(_) => *admitted.entry(workspace).or_default() += 1,
                     holder::Admission::Queued(ticket) => drop(tickets.insert(ticket, workspace)),
                 }
             }
         }
-        for (to, question) in holder.due_loan_requests(now) {
-            let answer = lending.answer(now, &question).expect("in order");
+        for (to, loan_request) in holder.due_loan_requests(now) {
+            let answer = lender
+                .answer_loan_request(now, &loan_request)
+                .expect("in order");
             holder.apply_loans(now, &to, &answer);
         }
         if holder.next_renewal_at() <= now {
@@ -87,23 +90,23 @@
     admitted
 }
 
-/// Workspaces of which less than nearly all requests were admitted.
-fn starved(count: usize) -> Vec<(id::Workspace, usize)> {
-    let each = usize::try_from(END / PERIOD).expect("it is small");
-    let admitted = admitted(&named(count)).into_iter();
+/// Returns the workspaces of which less than 95% of all requests were admitted.
+fn starved_workspaces(count: usize) -> Vec<(id::Workspace, usize)> {
+    let requests = usize::try_from(END_MILLIS / REQUEST_INTERVAL_MILLIS).expect("it is small");
+    let admitted = count_admitted(&workspaces_named(count)).into_iter();
     admitted
-        .filter(|(_, admitted)| admitted * 20 < each * 19)
+        .filter(|(_, admitted)| admitted * 20 < requests * 19)
         .collect()
 }
 
 // The load can be served.
 #[test]
-fn workspaces_of_one_question_are_served() {
-    assert_eq!(starved(16), []);
+fn workspaces_of_one_loan_request_are_served() {
+    assert_eq!(starved_workspaces(16), []);
 }
 
 // Workspaces that come last by name would get nothing while sixteen before them are in use.
 #[test]
 fn no_workspace_starves_beside_others_of_the_same_lender() {
-    assert_eq!(starved(20), []);
+    assert_eq!(starved_workspaces(20), []);
 }
--- a/crates/cranberrygap-policy/tests/limits_unreachable_lender.rs
+++ b/crates/cranberrygap-policy/tests/limits_unreachable_lender.rs
@@ -1,12 +1,11 @@
-//! An entry that lends and renews at the leader, but does not answer who asks it in time, or the
-//! other way round.
+//! A lender that reaches the leader but not its borrowers in time, or the other way round.
 
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id, number, token};
 use cranberrygap_policy::limits::{self, granter, holder, lending};
 
-const END: u64 = 10_000;
+const END_MILLIS: u64 = 10_000;
 const COST: u64 = 2_000;
 
 fn at(millis: u64) -> duration::Instant {
@@ -33,9 +32,9 @@
 }
 
 fn lender() -> lending::Lender {
-    let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
-    lending.set_workspaces(at(0), &[workspace()]);
-    lending
+    let mut lender = lending::Lender::new(name("lender"), number::Boot(1));
+    lender.set_workspaces(at(0), &[workspace()]);
+    lender
 }
 
 fn entry() -> holder::Holder {
@@ -45,7 +44,7 @@
     holder
 }
 
-/// What the entry that lends reaches; everything else is sound.
+/// Processes that the lender reaches; everything else is sound.
 #[derive(Clone, Copy, PartialEq)]
 enum Reach {
     All,
@@ -53,26 +52,32 @@
     OnlyEntries,
 }
 
-/// Requests that came to one entry, and those of them that were admitted.
-fn served(mut granter: granter::Granter, each: u64, reach: Reach) -> (usize, usize) {
-    let (mut lending, mut holder) = (lender(), entry());
-    let patience = holder::MaxWait::uniform(duration::Span::from_millis(1_000));
+/// Returns the requests at one entry and how many of them were admitted.
+fn count_served(
+    mut granter: granter::Granter,
+    interval_millis: u64,
+    reach: Reach,
+) -> (usize, usize) {
+    let (mut lender, mut holder) = (lender(), entry());
+    let max_wait = holder::MaxWait::uniform(duration::Span::from_millis(1_000));
     let (mut asked, mut admitted) = (0, 0);
-    for millis in (0..END).step_by(5) {
+    for millis in (0..END_MILLIS).step_by(5) {
         let now = at(millis);
-        if reach != Reach::OnlyEntries && lending.next_renewal_at() <= now {
-            let renewal = lending.begin_renewal(now);
+        if reach != Reach::OnlyEntries && lender.next_renewal_at() <= now {
+            let renewal = lender.begin_renewal(now);
             let answer = granter.renew(now, &renewal).expect("in order");
-            lending.apply_grants(now, &answer.granted);
+            lender.apply_grants(now, &answer.granted);
         }
-        if millis % each == 0 {
+        if millis % interval_millis == 0 {
             asked += 1;
-            let verdict = holder.admit(now, &workspace(), token::Count(COST), patience);
-            admitted += usize::from(matches!(verdict, holder::Admission::Admitted(_)));
+            let admission = holder.admit(now, &workspace(), token::Count(COST), max_wait);
+            admitted += usize::from(matches!(admission, holder::Admission::Admitted(_)));
         }
-        for (to, question) in holder.due_loan_requests(now) {
+        for (to, loan_request) in holder.due_loan_requests(now) {
             if reach != Reach::OnlyLeader {
-                let answer = lending.answer(now, &question).expect("in order");
+                let answer = lender
+                    .answer_loan_request(now, &loan_request)
+                    .expect("in order");
                 holder.apply_loans(now, &to, &answer);
             }
         }
@@ -90,28 +95,29 @@
     (asked, admitted)
 }
 
-fn small() -> granter::Granter {
+fn small_workspace() -> granter::Granter {
     leader(4_000.0, 5_000)
 }
 
-fn large() -> granter::Granter {
+fn large_workspace() -> granter::Granter {
     leader(100_000.0, 100_000)
 }
 
-// The loads below can be served.
+// The loads of the tests below can be served.
 #[test]
 fn requests_are_served_while_the_lender_reaches_all() {
-    let (asked, admitted) = served(small(), 2_500, Reach::All);
+    let (asked, admitted) = count_served(small_workspace(), 2_500, Reach::All);
     assert_eq!(admitted, asked);
-    let (asked, admitted) = served(large(), 100, Reach::All);
+    let (asked, admitted) = count_served(large_workspace(), 100, Reach::All);
     assert_eq!(admitted, asked);
 }
 
-// All callers of an entry at a fifth of their rate would be refused for as long as a link is
-// cut, or the entry that lends is slow, while that one goes on to renew its lease.
+// The lender renews its lease but does not answer borrowers, because a link is cut or it is
+// slow. All callers of an entry at a fifth of their rate would be refused for as long as that
+// lasts.
 #[test]
 fn requests_are_served_while_the_lender_reaches_only_the_leader() {
-    let (asked, admitted) = served(small(), 2_500, Reach::OnlyLeader);
+    let (asked, admitted) = count_served(small_workspace(), 2_500, Reach::OnlyLeader);
 
     assert_eq!(admitted, asked);
 }
@@ -119,16 +125,16 @@
 // The same in a workspace large enough for shares, at a fifth of its rate.
 #[test]
 fn large_workspace_is_served_while_the_lender_reaches_only_the_leader() {
-    let (asked, admitted) = served(large(), 100, Reach::OnlyLeader);
+    let (asked, admitted) = count_served(large_workspace(), 100, Reach::OnlyLeader);
 
     assert!(admitted * 20 >= asked * 19, "{admitted} of {asked}");
 }
 
-// An entry that was chosen and has nothing to lend must not keep requests from the leader,
-// which has all the tokens.
+// A selected lender without tokens must not keep requests from the leader, which has all the
+// tokens.
 #[test]
 fn requests_are_served_while_the_lender_reaches_only_entries() {
-    let (asked, admitted) = served(small(), 2_500, Reach::OnlyEntries);
+    let (asked, admitted) = count_served(small_workspace(), 2_500, Reach::OnlyEntries);
 
     assert_eq!(admitted, asked);
 }
