--- a/crates/cranberrygap-policy/src/claims.rs
+++ b/crates/cranberrygap-policy/src/claims.rs
@@ -1,21 +1,21 @@
-//! A booking at the entry: claimed, dispatched once, closed.
+//! State machine of a booking at the entry: claimed, dispatched once, closed.
 //!
-//! The claim is committed in the log before anything is sent, and the outcome
-//! after. The leader grants a claim to one process only, by instance and boot;
-//! when that process is gone the claim becomes unknown and is never run again.
+//! The claim is committed to the log before anything is sent, and the outcome afterwards. The
+//! leader grants a claim to one process only, identified by instance and boot; when that
+//! process is gone, the claim becomes unknown and never runs again.
 
 use cranberrygap_model::duration;
 use cranberrygap_wire::claim;
 
 use crate::outcome::{Evidence, Outcome};
 
-/// Times that an outcome is told to the leader before it is left as running.
+/// Most attempts to report an outcome to the leader, after which the claim stays running.
 const MAX_CLOSE_ATTEMPTS: u32 = 4;
 
-/// Wait between two of these times.
+/// Backoff between two of these attempts.
 const CLOSE_BACKOFF: duration::Span = duration::Span::from_millis(250);
 
-/// One booking of one caller.
+/// State of one booking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Booking {
     state: State,
@@ -35,57 +35,57 @@
     Done,
 }
 
-/// What happened.
+/// Event that a booking reacts to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// The leader's answer to the claim.
+    /// The leader answered the claim.
     Verdict(claim::Verdict),
-    /// The claim got no answer; it may be committed all the same.
+    /// The claim got no answer, but may be committed all the same.
     OpenFailed,
-    /// The service answered, whole.
+    /// The service gave a complete answer.
     Answered(claim::Response),
-    /// The dispatch ended in another way.
+    /// The dispatch ended without a complete answer.
     Ended(Evidence),
-    /// The leader has committed the outcome.
+    /// The leader committed the outcome.
     Closed,
-    /// The outcome got no answer from the leader.
+    /// The leader did not answer the reported outcome.
     CloseFailed,
 }
 
-/// What the entry is to do.
+/// Action that the entry must take.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send the booking to the service, now and only now.
+    /// Send the booking to the service, exactly once.
     Dispatch,
-    /// Tell the leader the outcome, after a wait.
+    /// Report the outcome to the leader after a backoff.
     Close {
-        /// The claim.
+        /// Number of the claim.
         claim: u64,
-        /// How it ended.
+        /// Outcome of the dispatch.
         outcome: claim::Outcome,
-        /// Time to wait before.
+        /// Time to wait before the report.
         after: duration::Span,
     },
     /// Answer the caller.
     Reply(Reply),
 }
 
-/// The caller's answer.
+/// Answer to the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// The service's answer, now or from the claim.
+    /// The service's answer, from this dispatch or from the stored claim.
     Answer(claim::Response),
-    /// It did not run.
+    /// The booking did not run.
     NotRun,
-    /// It could not be claimed and did not run.
+    /// The booking could not be claimed and did not run.
     NoQuorum,
-    /// It may have run and will not be run again.
+    /// The booking may have run and will not run again.
     Unknown,
-    /// The same booking runs now.
+    /// The same booking is running.
     Running,
-    /// The key came with another body before.
+    /// The key was used before with another body.
     Conflict,
-    /// The key is older than outcomes are kept.
+    /// The key is older than the time for which outcomes are kept.
     Expired,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Booking {
-    /// A booking whose claim has just been asked for.
+    /// Creates a booking whose claim has just been requested.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -104,30 +104,34 @@
         }
     }
 
-    /// Takes one step; an input that does not fit the state changes nothing.
+    /// Applies an input and returns the actions to take.
+    ///
+    /// An input that does not fit the state changes nothing.
     pub fn step(&mut self, input: Input) -> Vec<Output> {
         match (std::mem::replace(&mut self.state, State::Done), input) {
             (State::Opening, Input::Verdict(verdict)) => self.handle_verdict(verdict),
-            // Whatever became of the claim, nothing was sent and nothing will be.
+            // Even if the claim is committed, nothing was sent and nothing will be.
             (State::Opening, Input::OpenFailed) => vec![Output::Reply(Reply::NoQuorum)],
             (State::Dispatched { claim }, Input::Answered(response)) => {
                 let outcome = claim::Outcome::Answered(response.clone());
-                // The outcome is stored before the caller learns of it: a resend
-                // that another entry takes must find it.
+                // The outcome is stored before the caller gets it: a resend that reaches
+                // another entry must find it.
                 self.close(claim, outcome)
             }
             (State::Dispatched { claim }, Input::Ended(evidence)) => {
                 self.close(claim, claim_outcome(evidence))
             }
-            (State::Closing { outcome, .. }, Input::Closed) => vec![Output::Reply(reply(outcome))],
+            (State::Closing { outcome, .. }, Input::Closed) => {
+                vec![Output::Reply(to_reply(outcome))]
+            }
             (
                 State::Closing {
                     claim,
                     outcome,
-                    attempts: tries,
+                    attempts,
                 },
                 Input::CloseFailed,
-            ) => self.close_again(claim, outcome, tries),
+            ) => self.close_again(claim, outcome, attempts),
             (state, _) => {
                 self.state = state;
                 Vec::new()
@@ -141,7 +145,7 @@
                 self.state = State::Dispatched { claim };
                 return vec![Output::Dispatch];
             }
-            claim::Verdict::Stored { outcome } => reply(outcome),
+            claim::Verdict::Stored { outcome } => to_reply(outcome),
             claim::Verdict::Running => Reply::Running,
             claim::Verdict::Conflict => Reply::Conflict,
             claim::Verdict::Expired => Reply::Expired,
@@ -163,16 +167,18 @@
         }]
     }
 
-    /// Without the record a resend learns "running" and later "unknown", never
-    /// that it may run: worse for the caller than the truth, and still true.
-    fn close_again(&mut self, claim: u64, outcome: claim::Outcome, tries: u32) -> Vec<Output> {
-        if tries >= MAX_CLOSE_ATTEMPTS {
-            return vec![Output::Reply(reply(outcome))];
+    /// Reports the outcome again, or answers the caller after the last attempt.
+    ///
+    /// Without a stored outcome, a resend gets "running" and later "unknown", but never
+    /// permission to run. That tells the caller less than is known, but nothing wrong.
+    fn close_again(&mut self, claim: u64, outcome: claim::Outcome, attempts: u32) -> Vec<Output> {
+        if attempts >= MAX_CLOSE_ATTEMPTS {
+            return vec![Output::Reply(to_reply(outcome))];
         }
         self.state = State::Closing {
             claim,
             outcome: outcome.clone(),
-            attempts: tries + 1,
+            attempts: attempts + 1,
         };
         let after = CLOSE_BACKOFF;
         vec![Output::Close {
@@ -190,7 +196,7 @@
     }
 }
 
-fn reply(outcome: claim::Outcome) -> Reply {
+fn to_reply(outcome: claim::Outcome) -> Reply {
     match outcome {
         claim::Outcome::Answered(response) => Reply::Answer(response),
         claim::Outcome::NotRun => Reply::NotRun,
--- a/crates/cranberrygap-policy/src/fairness.rs
+++ b/crates/cranberrygap-policy/src/fairness.rs
@@ -1,9 +1,9 @@
-//! Order in which requests of several workspaces reach a group of endpoints.
+//! Fair queueing of several workspaces' requests for one group of endpoints.
 //!
-//! Virtual token counters (Sheng et al., OSDI 2024): each workspace has a
-//! counter of the tokens that it was served, divided by its weight; the next
-//! request comes from the workspace with the lowest one. A workspace at several
-//! times its rate waits behind its own requests and not before others'.
+//! Implements virtual token counters (Sheng et al., OSDI 2024): each workspace has a counter
+//! of the tokens it was served, divided by its weight, and the next request comes from the
+//! workspace with the lowest counter. A workspace at several times its rate waits behind its
+//! own requests, not in front of those of other workspaces.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,75 +14,75 @@
 
 use throughput::Throughput;
 
-/// Counters are kept in thousandths of a token over the weight.
+/// Counter units per token at weight 1: counters hold thousandths of a token divided by the weight.
 const COUNTER_UNITS_PER_TOKEN: f64 = 1_000.0;
 
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest retry time that a refused caller gets.
 const MIN_RETRY_AFTER: duration::Span = duration::Span::from_millis(100);
 
-/// One waiting request.
+/// A request in the queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// The caller's handle; unique in the queue.
+    /// Identifier that the queue's user chose; unique in the queue.
     pub ticket: u64,
-    /// Whose request it is.
+    /// Workspace that sent the request.
     pub workspace: id::Workspace,
-    /// Share of the endpoints relative to other workspaces.
+    /// Weight of the workspace relative to other workspaces.
     pub weight: f64,
-    /// Tokens that it may cost.
+    /// Most tokens that the request may cost.
     pub cost: token::Count,
-    /// When its wait must be over.
+    /// Time by which the request must leave the queue.
     pub deadline: duration::Instant,
 }
 
-/// Why a request does not wait, or no longer.
+/// A request that the queue refuses or drops, with the reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// The request.
+    /// Ticket of the refused request.
     pub ticket: u64,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// After this time it may fare better.
+    /// Time after which a retry may succeed.
     pub retry_after: duration::Span,
 }
 
-/// Why a request is refused.
+/// Reason for a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The queue is full and its workspace has its part of it.
+    /// The queue is full and the workspace already has its part of it.
     Full,
-    /// It would not be served before its deadline.
+    /// The expected wait exceeds the request's deadline.
     #[serde(rename = "hopeless")]
     DeadlineUnreachable,
-    /// Its deadline passed.
+    /// The deadline passed while the request was in the queue.
     #[serde(rename = "late")]
     DeadlinePassed,
 }
 
-/// Requests that wait for one group of endpoints.
+/// Queue of the requests that wait for one group of endpoints.
 #[derive(Debug)]
 pub struct Queue {
     capacity: usize,
     waiting: BTreeMap<id::Workspace, VecDeque<Request>>,
     counters: BTreeMap<id::Workspace, u64>,
     waiting_count: usize,
-    /// Lowest counter that a workspace may come back with.
+    /// Lowest counter that a workspace may return with after an idle time.
     min_counter: u64,
     throughput: Throughput,
 }
 
-/// State of a queue for a dump.
+/// State of a queue, for a dump.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// Waiting requests of each workspace.
+    /// Number of waiting requests of each workspace.
     pub waiting: BTreeMap<id::Workspace, usize>,
-    /// Counter of each workspace in thousandths of a token.
+    /// Counter of each workspace, in thousandths of a token.
     pub counters: BTreeMap<id::Workspace, u64>,
 }
 
 impl Queue {
-    /// An empty queue for at most `length` requests.
+    /// Creates an empty queue for at most `capacity` requests.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Changes the bound of the queue.
+    /// Sets the most requests that the queue holds.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity.max(1);
     }
 
-    /// Takes a request; gives back who is refused for it, which may be itself.
+    /// Adds a request; returns the request that is refused for it, which may be the same one.
     pub fn push(&mut self, now: duration::Instant, request: Request) -> Option<Refusal> {
         let wait = self.expected_wait(&request);
         if now.after(wait) > request.deadline {
@@ -124,12 +124,12 @@
         refused
     }
 
-    /// The next request to send, and charges its workspace for it.
+    /// Removes and returns the next request to send, and charges its workspace for it.
     pub fn pop(&mut self, now: duration::Instant) -> Option<Request> {
         let next = self.next_workspace()?;
-        let line = self.waiting.get_mut(&next)?;
-        let request = line.pop_front()?;
-        if line.is_empty() {
+        let requests = self.waiting.get_mut(&next)?;
+        let request = requests.pop_front()?;
+        if requests.is_empty() {
             self.waiting.remove(&next);
         }
         self.waiting_count -= 1;
@@ -140,7 +140,7 @@
         Some(request)
     }
 
-    /// Corrects the charge of a request that cost `used` instead of `cost`.
+    /// Corrects the charge of a request that cost `used` tokens instead of `cost`.
     pub fn correct_charge(&mut self, request: &Request, used: token::Count) {
         let Some(counter) = self.counters.get_mut(&request.workspace) else {
             return;
@@ -150,64 +150,64 @@
         *counter = counter.saturating_sub(charged).saturating_add(actual);
     }
 
-    /// Takes out all requests whose deadline has passed.
+    /// Removes and returns all requests whose deadline has passed.
     pub fn expire(&mut self, now: duration::Instant) -> Vec<Refusal> {
         let mut refused = Vec::new();
-        let pace = &self.throughput;
-        for line in self.waiting.values_mut() {
-            let queued = line.iter().map(|request| request.cost.0).sum();
-            let wait = pace.time_for(token::Count(queued));
-            line.retain(|request| {
-                let late = now >= request.deadline;
-                if late {
+        let throughput = &self.throughput;
+        for requests in self.waiting.values_mut() {
+            let queued = requests.iter().map(|request| request.cost.0).sum();
+            let wait = throughput.time_for(token::Count(queued));
+            requests.retain(|request| {
+                let is_expired = now >= request.deadline;
+                if is_expired {
                     refused.push(refusal(request, Reason::DeadlinePassed, wait));
                 }
-                !late
+                !is_expired
             });
         }
-        self.waiting.retain(|_, line| !line.is_empty());
+        self.waiting.retain(|_, requests| !requests.is_empty());
         self.waiting_count -= refused.len();
         refused
     }
 
-    /// Takes out a request whose caller has left; false if it is not there.
+    /// Removes the request of a caller that left; returns false if it is not in the queue.
     pub fn remove(&mut self, ticket: u64) -> bool {
         let before = self.waiting_count;
-        for line in self.waiting.values_mut() {
-            let length = line.len();
-            line.retain(|request| request.ticket != ticket);
-            self.waiting_count -= length - line.len();
+        for requests in self.waiting.values_mut() {
+            let length = requests.len();
+            requests.retain(|request| request.ticket != ticket);
+            self.waiting_count -= length - requests.len();
         }
-        self.waiting.retain(|_, line| !line.is_empty());
+        self.waiting.retain(|_, requests| !requests.is_empty());
         self.waiting_count < before
     }
 
-    /// Number of waiting requests.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.waiting_count
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.waiting_count == 0
     }
 
-    /// When the next deadline passes.
+    /// Returns the earliest deadline of all waiting requests.
     #[must_use]
     pub fn next_deadline(&self) -> Option<duration::Instant> {
         let requests = self.waiting.values().flatten();
         requests.map(|request| request.deadline).min()
     }
 
-    /// The whole state, for a dump.
+    /// Returns the state of the queue, for a dump.
     #[must_use]
     pub fn dump(&self) -> Dump {
-        let lengths = self.waiting.iter();
+        let waiting = self.waiting.iter();
         Dump {
-            waiting: lengths
-                .map(|(name, line)| (name.clone(), line.len()))
+            waiting: waiting
+                .map(|(name, requests)| (name.clone(), requests.len()))
                 .collect(),
             counters: self.counters.clone(),
         }
@@ -219,20 +219,20 @@
         lowest.cloned()
     }
 
-    /// Lifts the counter of a workspace that comes back from idleness.
+    /// Raises the counter of a workspace that returns from an idle time.
     ///
-    /// Without it, a workspace that rested for an hour would be served alone until
-    /// it had caught up, and everybody else would wait.
+    /// Without this, a workspace that was idle for an hour would be the only one served until
+    /// its counter had caught up, and all others would wait.
     fn raise_counter(&mut self, workspace: &id::Workspace) {
         if self.waiting.contains_key(workspace) {
             return;
         }
         let counters = &self.counters;
-        let of = |name: &id::Workspace| counters.get(name).copied().unwrap_or(0);
+        let counter_of = |name: &id::Workspace| counters.get(name).copied().unwrap_or(0);
         let lowest = self
             .waiting
             .keys()
-            .map(of)
+            .map(counter_of)
             .min()
             .unwrap_or(self.min_counter);
         let counter = self.counters.entry(workspace.clone()).or_default();
@@ -240,30 +240,34 @@
         self.drop_idle_counters();
     }
 
-    /// Forgets counters that lifting would raise anyway, so that workspaces that
-    /// are gone leave nothing behind.
+    /// Drops counters that `raise_counter` would raise anyway.
+    ///
+    /// No state stays behind for workspaces that are gone.
     fn drop_idle_counters(&mut self) {
-        let (waiting, floor) = (&self.waiting, self.min_counter);
+        let (waiting, min_counter) = (&self.waiting, self.min_counter);
         if waiting.is_empty() {
-            self.counters.retain(|_, counter| *counter >= floor);
+            self.counters.retain(|_, counter| *counter >= min_counter);
         }
     }
 
-    /// Refuses the newest request of the workspace with the most in the queue.
+    /// Refuses the newest request of the workspace with the most requests in the queue.
     ///
-    /// If the newcomer were always refused, one workspace could fill the queue and
-    /// keep the others out of it, whatever the counters say.
+    /// If the arriving request were always the one refused, one workspace could fill the
+    /// queue and keep the others out, whatever the counters say.
     fn evict_newest(&mut self, request: &Request, wait: duration::Span) -> Refusal {
-        let own = self
+        let own_count = self
             .waiting
             .get(&request.workspace)
             .map_or(0, VecDeque::len);
-        let longest = self.waiting.iter().max_by_key(|(_, line)| line.len());
-        let longest = longest.map(|(name, line)| (name.clone(), line.len()));
+        let longest = self
+            .waiting
+            .iter()
+            .max_by_key(|(_, requests)| requests.len());
+        let longest = longest.map(|(name, requests)| (name.clone(), requests.len()));
         let Some((name, length)) = longest else {
             return refusal(request, Reason::Full, wait);
         };
-        if length <= own + 1 {
+        if length <= own_count + 1 {
             return refusal(request, Reason::Full, wait);
         }
         let newest = self.waiting.get_mut(&name).and_then(VecDeque::pop_back);
@@ -277,20 +281,24 @@
         }
     }
 
-    /// Time until a request that came now would be sent, by the recent pace: its
-    /// workspace's queue and as much of each other one as goes before it.
+    /// Returns the time until a request that arrives now would be sent, at the recent throughput.
+    ///
+    /// The requests ahead of it are its workspace's own and, of each other workspace, as many
+    /// as the counters let through first.
     fn expected_wait(&self, request: &Request) -> duration::Span {
-        let own = self.waiting.get(&request.workspace);
-        let own: u64 = own.map_or(0, |line| line.iter().map(|r| r.cost.0).sum());
-        let reach = (own + request.cost.0) as f64 / request.weight.max(f64::MIN_POSITIVE);
-        let mut ahead = own;
-        for (name, line) in &self.waiting {
+        let own_requests = self.waiting.get(&request.workspace);
+        let own_cost: u64 =
+            own_requests.map_or(0, |requests| requests.iter().map(|r| r.cost.0).sum());
+        let normalized_cost =
+            (own_cost + request.cost.0) as f64 / request.weight.max(f64::MIN_POSITIVE);
+        let mut ahead = own_cost;
+        for (name, requests) in &self.waiting {
             if *name == request.workspace {
                 continue;
             }
-            let queued: u64 = line.iter().map(|r| r.cost.0).sum();
-            let weight = line.front().map_or(1.0, |r| r.weight);
-            ahead += queued.min(round_to_u64(reach * weight));
+            let queued: u64 = requests.iter().map(|r| r.cost.0).sum();
+            let weight = requests.front().map_or(1.0, |r| r.weight);
+            ahead += queued.min(round_to_u64(normalized_cost * weight));
         }
         self.throughput.time_for(token::Count(ahead))
     }
--- a/crates/cranberrygap-policy/src/outcome.rs
+++ b/crates/cranberrygap-policy/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What is known of a request after a dispatch: answered, not run or unknown.
+//! Outcome of a request as far as it is known after a dispatch: answered, not run or unknown.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,49 +6,49 @@
 use cranberrygap_model::ParseError;
 use serde::{Deserialize, Serialize};
 
-/// What became of one dispatch, as far as this process has seen.
+/// Result of one dispatch, as far as this process has seen it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
     /// Nothing was sent.
     NeverDispatched,
-    /// No connection came about, so not a byte was written.
+    /// The connection failed, so not a byte was written.
     ConnectFailed,
-    /// The endpoint itself said that it did not run the request.
+    /// The endpoint replied that it did not run the request.
     EndpointRefused,
-    /// The whole answer to this attempt arrived, with its length or end mark.
+    /// The complete answer to this attempt arrived, with its length or end mark.
     WholeAnswer,
-    /// The connection broke after writing had begun and before the answer was whole.
+    /// The connection broke after writing had begun and before the answer was complete.
     ConnectionBroke,
     /// The answer ended before its length or end mark.
     CutAnswer,
-    /// An answer came that belongs to another attempt.
+    /// The answer belongs to another attempt.
     CrossedAnswer,
-    /// Nothing came for longer than is waited for.
+    /// Nothing arrived before the timeout.
     Silence,
     /// The deadline of the request passed after the dispatch.
     DeadlinePassed,
 }
 
-/// The three kinds of outcome.
+/// What is known about whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The endpoint answered, whole.
+    /// The endpoint gave a complete answer.
     Answered,
-    /// It is proven that no endpoint ran it.
+    /// It is proven that no endpoint ran the request.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// What the evidence proves.
+    /// Returns the outcome that the evidence proves.
     ///
-    /// A request may have arrived whole although its connection broke while it
-    /// was written: the last bytes leave the process before the error comes
-    /// back. Only what happens before the first byte, or the endpoint's own
-    /// word, proves that it did not run.
+    /// A request may have arrived completely although its connection broke while it was
+    /// written: the last bytes leave the process before the error is reported. Only a failure
+    /// before the first byte, or the endpoint's own statement, proves that the request did
+    /// not run.
     #[must_use]
     pub const fn from_evidence(evidence: Evidence) -> Self {
         match evidence {
@@ -64,8 +64,9 @@
         }
     }
 
-    /// The outcome of a request after one more dispatch of it: only if none of
-    /// them may have run it, it was not run.
+    /// Combines this outcome with that of a later dispatch of the same request.
+    ///
+    /// The request counts as not run only if none of its dispatches may have run it.
     #[must_use]
     pub const fn combined_with(self, later: Self) -> Self {
         match (self, later) {
--- a/crates/cranberrygap-policy/src/quarantine.rs
+++ b/crates/cranberrygap-policy/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Requests that crash endpoints: who is suspected, and who may run where.
+//! Quarantine of requests that may crash endpoints.
 //!
-//! When an endpoint dies, all that ran on it become suspects. A suspect runs
-//! again only as the only suspect on its endpoint, so that a second crash
-//! names it. [`suspects::Tracker`] is the entry's side: what runs where, and what to
-//! report when an endpoint dies. [`permission::Table`] is the leader's side: it lets
-//! one suspect at a time onto each endpoint, over all entries.
+//! When an endpoint dies, every request that ran on it becomes a suspect. A suspect runs
+//! again only as the single suspect on its endpoint, so that a second crash identifies the
+//! culprit. [`suspects::Tracker`] is the entry's side: it tracks which requests run where and
+//! what to report when an endpoint dies. [`permission::Table`] is the leader's side: it
+//! permits one suspect at a time on each endpoint, across all entries.
 
 pub mod permission;
 pub mod suspects;
--- a/crates/cranberrygap-policy/src/quarantine/permission.rs
+++ b/crates/cranberrygap-policy/src/quarantine/permission.rs
@@ -1,4 +1,4 @@
-//! Leave for suspects to run, one on each endpoint at a time.
+//! Permissions for suspects to run, one per endpoint at a time.
 
 use std::collections::BTreeMap;
 
@@ -6,41 +6,43 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Time that a leave holds without being renewed, counted by the entry from
-/// asking. A suspect that runs longer renews.
+/// Time for which a permission holds without a renewal, counted by the entry from its request.
+///
+/// The entry renews it for a suspect that runs longer.
 pub const LEASE_DURATION: duration::Span = duration::Span::from_secs(5);
 
-/// Time beyond the lease for which the leader keeps an endpoint to one suspect.
+/// Time beyond the lease for which the leader keeps an endpoint reserved for one suspect.
 const LEASE_MARGIN: duration::Span = duration::Span::from_millis(100);
 
-/// Who runs as a suspect on each endpoint.
+/// Table of the suspect that runs on each endpoint.
 ///
-/// Two suspects of two entries may be retried on one endpoint. When it dies,
-/// nothing tells which of them did it; an innocent may be condemned or a culprit
-/// go on to the next endpoint. With one suspect on each endpoint a second crash
-/// has one name.
+/// Two suspects of two entries may be retried on one endpoint. When it dies, nothing tells
+/// which of them crashed it: an innocent request may be condemned, or the culprit go on to
+/// the next endpoint. With one suspect per endpoint, a second crash identifies the culprit.
 #[derive(Debug, Default)]
 pub struct Table {
     permissions: BTreeMap<id::Endpoint, Permission>,
-    /// Nothing is granted before; a predecessor's leaves may still hold.
+    /// Time before which nothing is granted, as a predecessor's permissions may still hold.
     grants_from: duration::Instant,
 }
 
-/// One suspect's right to run on one endpoint.
+/// Permission for one suspect to run on one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Permission {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: SmolStr,
-    /// The entry that sends it.
+    /// Instance of the entry that sends the request.
     pub instance: id::Instance,
-    /// Boot of the entry.
+    /// Boot of that entry.
     pub boot: number::Boot,
-    /// End of the leave on the leader's clock.
+    /// End of the permission on the leader's clock.
     pub until: duration::Instant,
 }
 
 impl Table {
-    /// The table of a new leader; leaves of its predecessor run out first.
+    /// Creates the table of a new leader.
+    ///
+    /// It grants nothing until its predecessor's permissions have ended.
     #[must_use]
     pub fn new(now: duration::Instant) -> Self {
         Self {
@@ -49,53 +51,57 @@
         }
     }
 
-    /// Gives or renews a leave; false while another suspect has the endpoint or
-    /// this suspect runs elsewhere.
+    /// Grants or renews a permission.
+    ///
+    /// Returns false while another suspect has the endpoint or this suspect runs elsewhere.
     pub fn try_grant(
         &mut self,
         now: duration::Instant,
         endpoint: &id::Endpoint,
         wanted: &Permission,
     ) -> bool {
-        self.permissions.retain(|_, leave| now < leave.until);
+        self.permissions
+            .retain(|_, permission| now < permission.until);
         if now < self.grants_from {
             return false;
         }
-        let same = |leave: &Permission| {
-            (&leave.fingerprint, &leave.instance, leave.boot)
-                == (&wanted.fingerprint, &wanted.instance, wanted.boot)
+        let is_same = |permission: &Permission| {
+            (
+                &permission.fingerprint,
+                &permission.instance,
+                permission.boot,
+            ) == (&wanted.fingerprint, &wanted.instance, wanted.boot)
         };
-        let taken = self
+        let is_taken = self
             .permissions
             .get(endpoint)
-            .is_some_and(|leave| !same(leave));
-        let elsewhere = self
-            .permissions
-            .iter()
-            .any(|(other, leave)| other != endpoint && leave.fingerprint == wanted.fingerprint);
-        if taken || elsewhere {
+            .is_some_and(|permission| !is_same(permission));
+        let runs_elsewhere = self.permissions.iter().any(|(other, permission)| {
+            other != endpoint && permission.fingerprint == wanted.fingerprint
+        });
+        if is_taken || runs_elsewhere {
             return false;
         }
         let until = now.after(LEASE_DURATION).after(LEASE_MARGIN);
-        let leave = Permission {
+        let permission = Permission {
             until,
             ..wanted.clone()
         };
-        self.permissions.insert(endpoint.clone(), leave);
+        self.permissions.insert(endpoint.clone(), permission);
         true
     }
 
-    /// Ends a leave early, when the suspect has ended.
+    /// Ends a permission early, once the suspect has finished.
     pub fn release(&mut self, endpoint: &id::Endpoint, wanted: &Permission) {
-        let same = self.permissions.get(endpoint).is_some_and(|leave| {
-            leave.fingerprint == wanted.fingerprint && leave.boot == wanted.boot
+        let is_same = self.permissions.get(endpoint).is_some_and(|permission| {
+            permission.fingerprint == wanted.fingerprint && permission.boot == wanted.boot
         });
-        if same {
+        if is_same {
             self.permissions.remove(endpoint);
         }
     }
 
-    /// All leaves, for a dump.
+    /// Returns all permissions, for a dump.
     #[must_use]
     pub fn dump(&self) -> BTreeMap<id::Endpoint, Permission> {
         self.permissions.clone()
--- a/crates/cranberrygap-policy/src/quarantine/suspects.rs
+++ b/crates/cranberrygap-policy/src/quarantine/suspects.rs
@@ -1,4 +1,4 @@
-//! What runs on each endpoint, as one entry knows it.
+//! Requests that run on each endpoint, and suspects of crashes, as one entry sees them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,44 +6,45 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Time for which a fingerprint stays suspect here. Longer than callers keep on
-/// sending a request again; short enough that a common harmless request, such
-/// as a health check, is not held against for ever.
+/// Time for which a fingerprint stays suspect.
+///
+/// Longer than callers keep resending a request, and short enough that a common harmless
+/// request, such as a health check, does not stay suspect forever.
 const SUSPICION_DURATION: duration::Span = duration::Span::from_secs(600);
 
-/// Suspects that are remembered; the oldest go first.
+/// Most suspects that are kept; the oldest are dropped first.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// One life of one endpoint.
+/// One boot of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Incarnation {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: id::Endpoint,
-    /// Its boot.
+    /// Boot of the endpoint.
     pub boot: number::Boot,
 }
 
-/// An endpoint died; the leader is to be told.
+/// Death of an endpoint, to be reported to the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
-    /// Which one.
+    /// Endpoint and boot that died.
     pub incarnation: Incarnation,
-    /// Fingerprints of what ran there from this entry.
+    /// Fingerprints of the requests of this entry that ran there.
     pub fingerprints: Vec<SmolStr>,
-    /// The suspect that ran there by the leader's leave.
+    /// The suspect that ran there with the leader's permission.
     pub probed: Option<SmolStr>,
 }
 
-/// Why a request may not be sent to an endpoint.
+/// Reason why a request may not be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denial {
-    /// This life of the endpoint is over.
+    /// This boot of the endpoint is dead.
     Dead,
-    /// The request is suspect, and so is another one that runs there.
+    /// The request is suspect, and so is another request that runs there.
     OtherSuspect,
 }
 
-/// What runs where, and who is suspected.
+/// Tracks running requests, dead endpoints and suspects.
 #[derive(Debug, Default)]
 pub struct Tracker {
     running: BTreeMap<Incarnation, BTreeMap<u64, SmolStr>>,
@@ -54,42 +55,48 @@
 }
 
 impl Tracker {
-    /// Notes that a request runs from now on; the number is for [`Tracker::finish_request`].
+    /// Records that a request starts; the returned number is for [`Tracker::finish_request`].
     ///
     /// # Errors
     ///
-    /// Why it must not be sent there.
+    /// [`Denial`] when the request must not be sent to this endpoint.
     pub fn start_request(
         &mut self,
         now: duration::Instant,
-        place: &Incarnation,
+        incarnation: &Incarnation,
         fingerprint: &SmolStr,
     ) -> Result<u64, Denial> {
-        if self.dead.contains_key(place) {
+        if self.dead.contains_key(incarnation) {
             return Err(Denial::Dead);
         }
-        if self.is_suspect(now, fingerprint) && self.has_other_suspect(now, place, fingerprint) {
+        if self.is_suspect(now, fingerprint)
+            && self.has_other_suspect(now, incarnation, fingerprint)
+        {
             return Err(Denial::OtherSuspect);
         }
         self.last_number += 1;
         self.running
-            .entry(place.clone())
+            .entry(incarnation.clone())
             .or_default()
             .insert(self.last_number, fingerprint.clone());
         Ok(self.last_number)
     }
 
-    /// Notes that a request ended without harm to its endpoint; a suspect that
-    /// was answered whole is innocent, since a culprit crashes every endpoint.
+    /// Records that a request ended without a crash; returns true if it was suspect.
     ///
-    /// True if it was suspected.
-    pub fn finish_request(&mut self, place: &Incarnation, number: u64, answered: bool) -> bool {
-        let Some(requests) = self.running.get_mut(place) else {
+    /// A suspect with a complete answer is innocent, since a culprit crashes every endpoint.
+    pub fn finish_request(
+        &mut self,
+        incarnation: &Incarnation,
+        number: u64,
+        answered: bool,
+    ) -> bool {
+        let Some(requests) = self.running.get_mut(incarnation) else {
             return false;
         };
         let fingerprint = requests.remove(&number);
         if requests.is_empty() {
-            self.running.remove(place);
+            self.running.remove(incarnation);
         }
         match fingerprint {
             Some(fingerprint) if answered => self.suspects.remove(&fingerprint).is_some(),
@@ -97,69 +104,73 @@
         }
     }
 
-    /// Notes that the endpoint is dead: it refuses connections or came back with
-    /// another boot. All that runs there becomes suspect.
+    /// Records that an endpoint is dead and makes every request that runs on it suspect.
     ///
-    /// A broken connection alone is no evidence; something on the way may have
-    /// cut it, and innocents would be suspected.
-    pub fn record_death(&mut self, now: duration::Instant, place: &Incarnation) -> Option<Crash> {
-        let requests = self.running.remove(place)?;
-        self.dead.insert(place.clone(), now);
+    /// An endpoint is dead when it refuses connections or has returned with another boot. A
+    /// broken connection alone is no evidence: anything on the network path may have cut it,
+    /// and innocent requests would become suspect.
+    pub fn record_death(
+        &mut self,
+        now: duration::Instant,
+        incarnation: &Incarnation,
+    ) -> Option<Crash> {
+        let requests = self.running.remove(incarnation)?;
+        self.dead.insert(incarnation.clone(), now);
         let fingerprints: BTreeSet<SmolStr> = requests.into_values().collect();
         for fingerprint in &fingerprints {
             self.suspects.insert(fingerprint.clone(), now);
         }
         self.drop_expired(now);
-        let lease = self.permissions.remove(place);
-        let probed = lease
+        let permission = self.permissions.remove(incarnation);
+        let probed = permission
             .filter(|(_, until)| now < *until)
             .map(|(probed, _)| probed);
         Some(Crash {
-            incarnation: place.clone(),
+            incarnation: incarnation.clone(),
             probed,
             fingerprints: fingerprints.into_iter().collect(),
         })
     }
 
-    /// Notes the boot with which an endpoint announces itself now; gives the
-    /// crash of an earlier one.
-    pub fn record_boot(&mut self, now: duration::Instant, place: &Incarnation) -> Vec<Crash> {
-        let is_earlier =
-            |other: &&Incarnation| other.endpoint == place.endpoint && other.boot != place.boot;
+    /// Records the boot that an endpoint announces; returns the crashes of its earlier boots.
+    pub fn record_boot(&mut self, now: duration::Instant, incarnation: &Incarnation) -> Vec<Crash> {
+        let is_earlier = |other: &&Incarnation| {
+            other.endpoint == incarnation.endpoint && other.boot != incarnation.boot
+        };
         let earlier: Vec<Incarnation> = self.running.keys().filter(is_earlier).cloned().collect();
         let crashes = earlier
             .iter()
-            .filter_map(|place| self.record_death(now, place));
+            .filter_map(|incarnation| self.record_death(now, incarnation));
         crashes.collect()
     }
 
-    /// Whether a request needs the leader's leave before it is sent again.
+    /// Returns whether a request needs the leader's permission before it is sent again.
     #[must_use]
     pub fn is_suspect(&self, now: duration::Instant, fingerprint: &str) -> bool {
         let since = self.suspects.get(fingerprint);
         since.is_some_and(|since| now.since(*since) < SUSPICION_DURATION)
     }
 
-    /// Notes that the leader lets a suspect run there until then, and no other.
+    /// Records the leader's permission for one suspect to run on an endpoint until `until`.
     pub fn hold_permission(
         &mut self,
-        place: &Incarnation,
+        incarnation: &Incarnation,
         fingerprint: &SmolStr,
         until: duration::Instant,
     ) {
         self.permissions
-            .insert(place.clone(), (fingerprint.clone(), until));
+            .insert(incarnation.clone(), (fingerprint.clone(), until));
     }
 
-    /// Notes that a suspect runs there no longer.
-    pub fn release_permission(&mut self, place: &Incarnation, fingerprint: &str) {
-        let held = self.permissions.get(place);
+    /// Records that a suspect no longer runs on an endpoint.
+    pub fn release_permission(&mut self, incarnation: &Incarnation, fingerprint: &str) {
+        let held = self.permissions.get(incarnation);
         if held.is_some_and(|(holder, _)| holder == fingerprint) {
-            self.permissions.remove(place);
+            self.permissions.remove(incarnation);
         }
     }
 
-    /// Notes that another entry's crash made these suspect.
+    /// Adds the suspects of a crash that another entry reported.
     pub fn add_suspects(&mut self, now: duration::Instant, fingerprints: &[SmolStr]) {
         for fingerprint in fingerprints {
             self.suspects.insert(fingerprint.clone(), now);
@@ -167,13 +178,13 @@
         self.drop_expired(now);
     }
 
-    /// Whether this life of the endpoint is known to be over.
+    /// Returns whether this boot of the endpoint is known to be dead.
     #[must_use]
-    pub fn is_dead(&self, place: &Incarnation) -> bool {
-        self.dead.contains_key(place)
+    pub fn is_dead(&self, incarnation: &Incarnation) -> bool {
+        self.dead.contains_key(incarnation)
     }
 
-    /// Number of suspects, for a dump.
+    /// Returns the number of suspects, for a dump.
     #[must_use]
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
@@ -182,10 +193,10 @@
     fn has_other_suspect(
         &self,
         now: duration::Instant,
-        place: &Incarnation,
+        incarnation: &Incarnation,
         fingerprint: &str,
     ) -> bool {
-        let mut running = self.running.get(place).into_iter().flatten();
+        let mut running = self.running.get(incarnation).into_iter().flatten();
         running.any(|(_, other)| other != fingerprint && self.is_suspect(now, other))
     }
 
--- a/crates/cranberrygap-policy/src/resend.rs
+++ b/crates/cranberrygap-policy/src/resend.rs
@@ -1,38 +1,42 @@
-//! Second sends that one entry may make, beside those of all others.
+//! Budget of resends at one entry, within a limit for all entries together.
 
 use std::collections::BTreeMap;
 
 use cranberrygap_model::id;
 
-/// Second sends earned by one request. Below the fifth that the fleet allows; each
-/// entry earns only by its own requests, so the sum over all entries stays within
-/// the fleet's share whatever the others do.
+/// Resends that one request adds to the budget.
+///
+/// Below the fifth that the fleet allows. Each entry earns only through its own requests, so
+/// the sum over all entries stays within the fleet's share whatever the others do.
 const RESENDS_PER_REQUEST: f64 = 0.17;
 
-/// Second sends that all entries together may save up. The users allow 54 beyond the
-/// share on fleets of seven or eight entries, and more on larger ones.
+/// Most resends that all entries together may accumulate.
+///
+/// The users allow 54 beyond the share on fleets of seven or eight entries, and more on
+/// larger ones.
 const MAX_SAVED_FLEET: f64 = 32.0;
 
-/// Second sends that any entry may save up: one, so that a request can be sent again
-/// at all.
+/// Resends that every entry may accumulate, so that a request can be resent at all.
 const MIN_SAVED_CAP: f64 = 1.0;
 
-/// Most that one entry may save up, so that a quiet one sends no burst of its own.
+/// Most resends that one entry may accumulate.
+///
+/// Keeps an entry with little traffic from sending a burst.
 const MAX_SAVED_ENTRY: f64 = 4.0;
 
-/// What is left for each service.
+/// Resends left for each service.
 #[derive(Debug, Default)]
 pub struct Budget {
     saved: BTreeMap<id::Service, f64>,
 }
 
 impl Budget {
-    /// A request for a service arrived at one of `entries`.
+    /// Adds the share of one request for a service, at one of `entries` entries.
     pub fn earn(&mut self, service: &id::Service, entries: usize) {
-        // Without a bound that falls with the number of entries, a large fleet that has
-        // been quiet could answer an outage by hundreds of second sends at once.
-        let part = MAX_SAVED_FLEET / entries.max(1) as f64;
-        let max_saved = part.clamp(MIN_SAVED_CAP, MAX_SAVED_ENTRY);
+        // Without a cap that falls with the number of entries, a large fleet after a quiet
+        // time could answer an outage with hundreds of resends at once.
+        let fleet_part = MAX_SAVED_FLEET / entries.max(1) as f64;
+        let max_saved = fleet_part.clamp(MIN_SAVED_CAP, MAX_SAVED_ENTRY);
         if let Some(saved) = self.saved.get_mut(service) {
             *saved = (*saved + RESENDS_PER_REQUEST).min(max_saved);
             return;
@@ -40,7 +44,7 @@
         self.saved.insert(service.clone(), MIN_SAVED_CAP);
     }
 
-    /// Takes one second send, if there is one.
+    /// Takes one resend from the budget; returns false if none is left.
     pub fn spend(&mut self, service: &id::Service) -> bool {
         let saved = self.saved.get_mut(service);
         let Some(saved) = saved.filter(|saved| **saved >= 1.0) else {
--- a/crates/cranberrygap-policy/src/retry.rs
+++ b/crates/cranberrygap-policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request is sent once more, and when.
+//! Decision whether and when a request is sent again.
 
 use cranberrygap_model::duration;
 use rand::Rng;
@@ -6,73 +6,75 @@
 
 use crate::outcome::Outcome;
 
-/// Dispatches of one request at most, the first one included.
+/// Most dispatches of one request, the first one included.
 const MAX_DISPATCHES: u32 = 3;
 
-/// Longest wait before the first retry; it doubles with each further one.
+/// Longest backoff before the first retry; it doubles with each further retry.
 const MAX_FIRST_BACKOFF: duration::Span = duration::Span::from_millis(20);
 
-/// Longest wait before any retry, well below the time to the first token that
-/// callers hope for.
+/// Longest backoff before any retry.
+///
+/// Well below the time to the first token that callers hope for.
 const MAX_BACKOFF: duration::Span = duration::Span::from_millis(160);
 
-/// Cost of one retry in the budget's unit.
+/// Budget units that one retry costs.
 const RETRY_COST: u64 = 1_000;
 
-/// Retries that may be saved up. Lets the requests that ran on one lost
-/// endpoint be retried together, and no more than about one endpoint's worth.
+/// Most budget units that may accumulate.
+///
+/// This lets the requests that ran on one lost endpoint be retried together, and no more than
+/// about one endpoint's worth.
 const MAX_SAVED: u64 = 64 * RETRY_COST;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// It may be repeated.
+    /// The request may run any number of times.
     Idempotent,
-    /// It must run at most once.
+    /// The request must run at most once.
     AtMostOnce,
 }
 
-/// What to do after a dispatch that was not answered.
+/// What to do after a dispatch without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it again after this time.
+    /// Send the request again after this backoff.
     Retry(duration::Span),
-    /// Give the final answer now.
+    /// Answer the caller now.
     GiveUp(Reason),
 }
 
-/// Why a request is not sent again.
+/// Reason why a request is not sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It may have run and must not run twice.
+    /// The request may have run and must not run twice.
     MayHaveRun,
-    /// It was dispatched as often as is allowed.
+    /// The request had the most dispatches allowed.
     AttemptsExhausted,
-    /// Too large a share of the traffic are retries already.
+    /// Retries already make up the allowed share of the traffic.
     BudgetExhausted,
-    /// The deadline would pass before.
+    /// The deadline would pass before the retry.
     DeadlineExceeded,
 }
 
-/// One request's position.
+/// State of one request after a dispatch.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub class: Class,
-    /// Dispatches so far.
+    /// Number of dispatches so far.
     pub dispatches: u32,
-    /// What is known of all of them together.
+    /// Combined outcome of all dispatches.
     pub outcome: Outcome,
-    /// When the request must be answered.
+    /// Time by which the request must be answered.
     pub deadline: duration::Instant,
 }
 
-/// Retries allowed as a share of the traffic.
+/// Limits retries to a share of the traffic.
 ///
-/// When all endpoints of a model fail, unbounded retries multiply the load just
-/// when the rest is overloaded, and the failure outlives its cause. One would
-/// see the dispatch rate rise while the answers fall. The budget keeps retries
-/// below a share of the requests.
+/// When all endpoints of a model fail, unbounded retries multiply the load just when the
+/// remaining endpoints are overloaded, and the failure outlives its cause: the dispatch rate
+/// rises while the answers fall. The budget keeps retries below a share of the requests.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Budget {
     share: u64,
@@ -80,7 +82,7 @@
 }
 
 impl Budget {
-    /// A full budget with a share between 0 and 1.
+    /// Creates a full budget with a share between 0 and 1.
     #[must_use]
     pub fn new(share: f64) -> Self {
         let mut budget = Self {
@@ -91,7 +93,7 @@
         budget
     }
 
-    /// Changes the share, as when the configuration changes.
+    /// Sets the share, as when the configuration changes.
     pub fn set_share(&mut self, share: f64) {
         #[expect(
             clippy::cast_possible_truncation,
@@ -102,13 +104,12 @@
         self.share = share;
     }
 
-    /// Counts a request, which earns its share of a retry.
+    /// Records a request, which adds its share of a retry to the budget.
     pub fn record_request(&mut self) {
         self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
 
-    /// Decides on a dispatch that was not answered; takes from the budget when it
-    /// is to be sent again.
+    /// Decides what follows a dispatch without an answer; a retry is charged to the budget.
     pub fn decide(
         &mut self,
         now: duration::Instant,
@@ -132,14 +133,16 @@
         Decision::Retry(backoff)
     }
 
-    /// Whole retries that are saved up.
+    /// Returns the number of whole retries in the budget.
     #[must_use]
     pub const fn saved(&self) -> u64 {
         self.saved / RETRY_COST
     }
 }
 
-/// Full jitter: requests that failed together do not come back together.
+/// Returns a backoff with full jitter.
+///
+/// Requests that failed together are not resent together.
 fn backoff(dispatches: u32, random: &mut impl Rng) -> duration::Span {
     let doublings = dispatches.saturating_sub(1).min(16);
     let longest = (MAX_FIRST_BACKOFF.0 << doublings).min(MAX_BACKOFF.0);
--- a/crates/cranberrygap-policy/src/stream.rs
+++ b/crates/cranberrygap-policy/src/stream.rs
@@ -1,35 +1,35 @@
-//! A streamed answer over several attempts, without a missing or doubled token.
+//! Streamed answer assembled from several attempts, without missing or duplicate tokens.
 
 use cranberrygap_model::id;
 use serde::Serialize;
 
-/// One event of an engine's stream, as far as it matters here.
+/// Event of an engine's stream, reduced to what resuming needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// One token of the answer.
     Token,
-    /// The reason for which the answer ends.
+    /// Reason for the end of the answer.
     Finish,
     /// Token counts.
     Usage,
-    /// The end mark.
+    /// End mark of the stream.
     End,
-    /// Anything else, such as the announcement of the role.
+    /// Any other event, such as the announcement of the role.
     Other,
 }
 
-/// What to do with an event.
+/// What the relay does with an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Pass it on to the caller.
+    /// Pass the event on to the caller.
     Deliver,
-    /// Leave it out; the caller has it already or it belongs to no one here.
+    /// Drop the event: the caller has it already, or its attempt was given up.
     Skip,
-    /// The stream contradicts itself; end the attempt as broken.
+    /// Give up the attempt as broken, because its stream contradicts itself.
     Broken,
 }
 
-/// How far a stream has come.
+/// Progress of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Stream {
     attempt: id::Attempt,
@@ -49,7 +49,7 @@
 }
 
 impl Stream {
-    /// A stream of at most `limit` tokens that starts with `attempt`.
+    /// Creates a stream of at most `limit` tokens that starts with `attempt`.
     #[must_use]
     pub const fn new(attempt: id::Attempt, limit: u64) -> Self {
         Self {
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Takes the next event of `attempt`.
+    /// Decides on the next event of `attempt`.
     ///
-    /// An attempt that was given up may still send: the engine was only slow, or
-    /// its connection comes back to life. Its tokens would stand twice in the
-    /// answer. Only events of the current attempt are delivered.
+    /// An attempt that was given up may still send: its engine was only slow, or its
+    /// connection recovered. Its tokens would appear twice in the answer, so only events of
+    /// the current attempt are delivered.
     pub fn accept(&mut self, attempt: &id::Attempt, event: Event) -> Decision {
         if *attempt != self.attempt || self.is_ended() {
             return Decision::Skip;
@@ -79,41 +79,44 @@
         }
     }
 
-    /// Goes on with `attempt` after the last one broke; gives the number of
-    /// tokens that the caller has and that must not come again.
+    /// Continues with `attempt` after the last one broke.
+    ///
+    /// Returns the number of tokens that the caller has and that must not be sent again.
     pub fn resume(&mut self, attempt: id::Attempt) -> u64 {
         self.attempt = attempt;
         self.delivered
     }
 
-    /// Whether the caller has the whole answer with its end mark.
+    /// Returns whether the caller has the complete answer with its end mark.
     #[must_use]
     pub const fn is_ended(&self) -> bool {
         matches!(self.stage, Stage::Ended)
     }
 
-    /// Whether all tokens and the reason of the end are delivered. If the stream
-    /// breaks now only the end mark is missing, and nothing is left to resume.
+    /// Returns whether all tokens and the finish reason are delivered.
+    ///
+    /// If the stream breaks then, only the end mark is missing, and nothing is left to
+    /// resume.
     #[must_use]
     pub const fn is_finished(&self) -> bool {
         matches!(self.stage, Stage::Finished | Stage::Ended)
     }
 
-    /// Tokens that the caller has.
+    /// Returns the number of tokens that the caller has.
     #[must_use]
     pub const fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// The attempt whose events count.
+    /// Returns the attempt whose events are delivered.
     #[must_use]
     pub const fn attempt(&self) -> &id::Attempt {
         &self.attempt
     }
 
     fn accept_token(&mut self) -> Decision {
-        // More tokens than were asked for come from an engine that began anew
-        // instead of going on.
+        // An engine that restarted the answer instead of resuming it sends more tokens than
+        // requested.
         if self.is_finished() || self.delivered >= self.limit {
             return Decision::Broken;
         }
@@ -139,7 +142,8 @@
     }
 
     fn accept_end(&mut self) -> Decision {
-        // An end mark before the reason of the end is a cut answer that looks whole.
+        // Without a finish reason before it, the end mark belongs to a truncated answer that
+        // looks complete.
         if !self.is_finished() {
             return Decision::Broken;
         }
@@ -148,7 +152,7 @@
     }
 
     fn accept_other(&mut self) -> Decision {
-        // A resumed engine announces its role once more.
+        // An engine that resumes an answer announces its role again.
         if self.stage != Stage::Opening {
             return Decision::Skip;
         }
--- a/crates/cranberrygap-policy/tests/bookings.rs
+++ b/crates/cranberrygap-policy/tests/bookings.rs
@@ -1,4 +1,4 @@
-//! A booking at the entry, from its claim to its outcome.
+//! Bookings at the entry, from the claim to the outcome.
 
 use cranberrygap_policy::claims::{Booking, Input, Output, Reply};
 use cranberrygap_policy::outcome::Evidence;
@@ -12,14 +12,14 @@
     }
 }
 
-fn dispatched() -> Booking {
+fn dispatched_booking() -> Booking {
     let mut booking = Booking::new();
     let outputs = booking.step(Input::Verdict(claim::Verdict::Granted { claim: 4 }));
     assert_eq!(outputs, [Output::Dispatch]);
     booking
 }
 
-fn closes(outputs: &[Output]) -> Option<&claim::Outcome> {
+fn closed_outcome(outputs: &[Output]) -> Option<&claim::Outcome> {
     match outputs {
         [
             Output::Close {
@@ -30,16 +30,19 @@
     }
 }
 
-// Were the caller answered first and the entry died then, a resend through
-// another entry would find a claim without an outcome.
+// If the caller were answered first and the entry died then, a resend through another entry
+// would find a claim without an outcome.
 #[test]
 fn outcome_is_stored_before_the_caller_is_answered() {
-    let mut booking = dispatched();
+    let mut booking = dispatched_booking();
 
     let ended = booking.step(Input::Answered(response()));
     let closed = booking.step(Input::Closed);
 
-    assert_eq!(closes(&ended), Some(&claim::Outcome::Answered(response())));
+    assert_eq!(
+        closed_outcome(&ended),
+        Some(&claim::Outcome::Answered(response()))
+    );
     assert_eq!(closed, [Output::Reply(Reply::Answer(response()))]);
 }
 
@@ -78,22 +81,22 @@
 
 #[test]
 fn broken_connection_makes_a_booking_unknown_and_a_refused_one_not_run() {
-    let broke = dispatched().step(Input::Ended(Evidence::ConnectionBroke));
-    let refused = dispatched().step(Input::Ended(Evidence::ConnectFailed));
+    let broke = dispatched_booking().step(Input::Ended(Evidence::ConnectionBroke));
+    let refused = dispatched_booking().step(Input::Ended(Evidence::ConnectFailed));
 
-    assert_eq!(closes(&broke), Some(&claim::Outcome::Unknown));
-    assert_eq!(closes(&refused), Some(&claim::Outcome::NotRun));
+    assert_eq!(closed_outcome(&broke), Some(&claim::Outcome::Unknown));
+    assert_eq!(closed_outcome(&refused), Some(&claim::Outcome::NotRun));
 }
 
 #[test]
-fn outcome_is_told_again_a_bounded_number_of_times() {
-    let mut booking = dispatched();
+fn outcome_is_reported_a_bounded_number_of_times() {
+    let mut booking = dispatched_booking();
     let mut outputs = booking.step(Input::Answered(response()));
     let mut closes_sent = 0;
 
-    while closes(&outputs).is_some() {
+    while closed_outcome(&outputs).is_some() {
         closes_sent += 1;
-        assert!(closes_sent < 10, "told for ever");
+        assert!(closes_sent < 10, "reported forever");
         outputs = booking.step(Input::CloseFailed);
     }
 
--- a/crates/cranberrygap-policy/tests/fair_queues.rs
+++ b/crates/cranberrygap-policy/tests/fair_queues.rs
@@ -1,4 +1,4 @@
-//! The order in which workspaces are served.
+//! Order in which workspaces are served.
 
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_policy::fairness::{Queue, Reason, Request};
@@ -21,17 +21,17 @@
     }
 }
 
-fn served(queue: &mut Queue, count: usize) -> Vec<String> {
+fn pop_workspaces(queue: &mut Queue, count: usize) -> Vec<String> {
     let popped = (0..count).filter_map(|_| queue.pop(at(0)));
     popped
         .map(|request| request.workspace.to_string())
         .collect()
 }
 
-// One rink sends ten times its share. Served in order of arrival, the others
-// would wait behind all of it.
+// One workspace sends ten times its share. Served in order of arrival, the others would wait
+// behind all of it.
 #[test]
-fn flood_of_one_workspace_waits_behind_itself() {
+fn flood_of_one_workspace_does_not_delay_others() {
     let mut queue = Queue::new(100);
     for ticket in 0..20 {
         queue.push(at(0), request(ticket, "flood"));
@@ -39,7 +39,7 @@
     queue.push(at(0), request(20, "quiet"));
     queue.push(at(0), request(21, "quiet"));
 
-    let order = served(&mut queue, 4);
+    let order = pop_workspaces(&mut queue, 4);
 
     let quiet = order.iter().filter(|name| *name == "quiet").count();
     assert_eq!(quiet, 2, "{order:?}");
@@ -58,54 +58,55 @@
         queue.push(at(0), request);
     }
 
-    let order = served(&mut queue, 12);
+    let order = pop_workspaces(&mut queue, 12);
 
     let double = order.iter().filter(|name| *name == "double").count();
     assert!((7..=9).contains(&double), "{order:?}");
 }
 
-// A workspace that rested for long would be served alone until it had caught up.
+// A workspace that was idle for long would be the only one served until its counter had
+// caught up.
 #[test]
-fn rest_gives_no_credit() {
+fn idle_workspace_gains_no_credit() {
     let mut queue = Queue::new(100);
     for ticket in 0..20 {
         queue.push(at(0), request(ticket, "steady"));
     }
-    served(&mut queue, 10);
+    pop_workspaces(&mut queue, 10);
     for ticket in 20..40 {
-        queue.push(at(0), request(ticket, "rested"));
+        queue.push(at(0), request(ticket, "idle"));
     }
 
-    let order = served(&mut queue, 10);
+    let order = pop_workspaces(&mut queue, 10);
 
-    let rested = order.iter().filter(|name| *name == "rested").count();
-    assert!((4..=6).contains(&rested), "{order:?}");
+    let idle = order.iter().filter(|name| *name == "idle").count();
+    assert!((4..=6).contains(&idle), "{order:?}");
 }
 
 // A workspace that fills the queue must not keep the others out of it.
 #[test]
-fn full_queue_makes_room_for_whoever_has_least_in_it() {
+fn full_queue_evicts_from_the_workspace_with_most_requests() {
     let mut queue = Queue::new(4);
     for ticket in 0..4 {
         assert_eq!(queue.push(at(0), request(ticket, "flood")), None);
     }
 
-    let pushed_out = queue
+    let evicted = queue
         .push(at(0), request(4, "quiet"))
         .expect("one is refused");
     let refused = queue
         .push(at(0), request(5, "flood"))
         .expect("one is refused");
 
-    assert_eq!((pushed_out.ticket, pushed_out.reason), (3, Reason::Full));
+    assert_eq!((evicted.ticket, evicted.reason), (3, Reason::Full));
     assert_eq!((refused.ticket, refused.reason), (5, Reason::Full));
     assert_eq!(queue.len(), 4);
 }
 
-// Forty requests a second are served and a hundred wait. Whoever must be served
-// within a second learns at once that it will not be, and when to come back.
+// Forty requests per second are served and a hundred wait. A request with a deadline of one
+// second must be refused at once, with the time after which to retry.
 #[test]
-fn hopeless_request_is_refused_at_once() {
+fn request_with_unreachable_deadline_is_refused_at_once() {
     let mut queue = Queue::new(1_000);
     for ticket in 0..200 {
         queue.push(at(0), request(ticket, "a"));
@@ -114,11 +115,11 @@
         queue.pop(at(turn * 25));
     }
 
-    let hurried = Request {
+    let urgent = Request {
         deadline: at(3_500),
         ..request(500, "a")
     };
-    let refused = queue.push(at(2_500), hurried).expect("it is refused");
+    let refused = queue.push(at(2_500), urgent).expect("it is refused");
 
     assert_eq!(
         (refused.ticket, refused.reason),
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn late_request_is_taken_out() {
+fn expired_request_is_removed() {
     let mut queue = Queue::new(10);
     queue.push(
         at(0),
@@ -142,11 +143,11 @@
     );
     queue.push(at(0), request(2, "a"));
 
-    let late = queue.expire(at(10));
+    let expired = queue.expire(at(10));
 
-    assert_eq!(late.len(), 1);
+    assert_eq!(expired.len(), 1);
     assert_eq!(
-        (late[0].ticket, late[0].reason),
+        (expired[0].ticket, expired[0].reason),
         (1, Reason::DeadlinePassed)
     );
     assert_eq!(queue.len(), 1);
--- a/crates/cranberrygap-policy/tests/outcomes_and_retries.rs
+++ b/crates/cranberrygap-policy/tests/outcomes_and_retries.rs
@@ -1,4 +1,4 @@
-//! What evidence proves, and what is sent again.
+//! Outcomes of evidence, and decisions on retries.
 
 use cranberrygap_model::duration;
 use cranberrygap_policy::outcome::{Evidence, Outcome};
@@ -33,10 +33,10 @@
     budget.decide(duration::Instant(0), attempt, &mut random)
 }
 
-// A connection breaks while the request is being written. The caller is told
-// that a booking did not run, sends it again, and two firms get the letter.
+// A connection breaks while the request is being written. If the caller were told that the
+// booking did not run, it would send the booking again, and the booking would run twice.
 #[test]
-fn only_proof_makes_not_run() {
+fn only_proof_gives_not_run() {
     let table: Vec<String> = EVIDENCE
         .iter()
         .map(|evidence| format!("{evidence:?}: {}", Outcome::from_evidence(*evidence)))
@@ -87,8 +87,8 @@
     assert!(matches!(not_run, retry::Decision::Retry(_)));
 }
 
-// All endpoints of a model fail at once. If every request were sent three times
-// the rest of the fleet would get three times the load.
+// All endpoints of a model fail at once. If every request were sent three times, the rest of
+// the fleet would get three times the load.
 #[test]
 fn retries_stay_below_their_share_of_the_traffic() {
     let mut budget = retry::Budget::new(0.1);
--- a/crates/cranberrygap-policy/tests/reserve.rs
+++ b/crates/cranberrygap-policy/tests/reserve.rs
@@ -1,4 +1,4 @@
-//! Second sends over all entries.
+//! Resends over all entries.
 
 use cranberrygap_model::id;
 use cranberrygap_policy::resend;
@@ -7,50 +7,50 @@
     "lm".parse().expect("a name")
 }
 
-/// Second sends that `entries` make at once after a quiet time.
+/// Returns the resends that `entries` make at once after a quiet time.
 fn burst(entries: usize) -> usize {
     let mut all: Vec<resend::Budget> = (0..entries).map(|_| resend::Budget::default()).collect();
-    for reserve in &mut all {
+    for budget in &mut all {
         for _request in 0..100 {
-            reserve.earn(&service(), entries);
+            budget.earn(&service(), entries);
         }
     }
-    let spent = all.iter_mut().map(|reserve| {
-        let tries = std::iter::repeat_with(|| reserve.spend(&service()));
+    let spent = all.iter_mut().map(|budget| {
+        let tries = std::iter::repeat_with(|| budget.spend(&service()));
         tries.take_while(|spent| *spent).count()
     });
     spent.sum()
 }
 
-// All engines fail at once after a quiet time. Each entry has saved up second sends;
-// a bound for each entry alone lets a fleet of 73 send nearly 300 at once, more than
-// the users allow over all.
+// All engines fail at once after a quiet time in which each entry has accumulated resends.
+// With a cap for each entry alone, a fleet of 73 would send nearly 300 at once, more than the
+// users allow over all.
 #[test]
-fn saved_sends_of_a_large_fleet_are_bounded_together() {
+fn resends_of_a_large_fleet_are_bounded_together() {
     assert_eq!(burst(8), 32);
     assert_eq!(burst(73), 73);
 }
 
 #[test]
-fn second_sends_stay_below_a_fifth_of_the_requests() {
-    let mut reserve = resend::Budget::default();
+fn resends_stay_below_a_fifth_of_the_requests() {
+    let mut budget = resend::Budget::default();
 
     let mut spent = 0;
     for _request in 0..1_000 {
-        reserve.earn(&service(), 8);
-        spent += usize::from(reserve.spend(&service()));
+        budget.earn(&service(), 8);
+        spent += usize::from(budget.spend(&service()));
     }
 
     assert!((150..=180).contains(&spent), "{spent}");
 }
 
 #[test]
-fn services_do_not_share_what_is_saved() {
-    let mut reserve = resend::Budget::default();
-    reserve.earn(&service(), 8);
+fn services_do_not_share_their_budgets() {
+    let mut budget = resend::Budget::default();
+    budget.earn(&service(), 8);
 
     let other = "app".parse().expect("a name");
 
-    assert!(!reserve.spend(&other));
-    assert!(reserve.spend(&service()));
+    assert!(!budget.spend(&other));
+    assert!(budget.spend(&service()));
 }
--- a/crates/cranberrygap-policy/tests/streams.rs
+++ b/crates/cranberrygap-policy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! A streamed answer that is resumed on another engine.
+//! Streamed answers that are resumed on another engine.
 
 use cranberrygap_model::id;
 use cranberrygap_policy::stream::{Decision, Event, Stream};
@@ -13,11 +13,11 @@
     }
 }
 
-// An engine dies in the middle of an answer; another one goes on behind the last
-// token. The dead one was only cut off and sends its next token after all. The
-// caller would read that token twice.
+// An engine is cut off in the middle of an answer, and another one resumes after the last
+// token. The first engine then sends its next token after all, which the caller would get
+// twice.
 #[test]
-fn late_tokens_of_a_given_up_attempt_are_left_out() {
+fn late_tokens_of_a_given_up_attempt_are_dropped() {
     let (first, second) = (attempt("a"), attempt("b"));
     let mut stream = Stream::new(first.clone(), 10);
     deliver(&mut stream, &first, 3);
@@ -36,10 +36,10 @@
     assert_eq!(stream.delivered(), 10);
 }
 
-// An engine that does not know how to resume begins anew. The caller would read
-// the beginning twice; more tokens than were asked for give it away.
+// An engine that cannot resume restarts the answer, and the caller would get the beginning
+// twice. More tokens than requested reveal it.
 #[test]
-fn engine_that_begins_anew_is_found() {
+fn engine_that_restarts_the_answer_is_detected() {
     let (first, second) = (attempt("a"), attempt("b"));
     let mut stream = Stream::new(first.clone(), 4);
     deliver(&mut stream, &first, 3);
@@ -51,10 +51,10 @@
     assert_eq!(surplus, Decision::Broken);
 }
 
-// An engine closes its stream cleanly in the middle. Passed on as it is, the
+// An engine closes its stream cleanly in the middle. If the end mark were passed on, the
 // caller would take half an answer for the whole.
 #[test]
-fn end_mark_before_the_finish_is_a_cut_answer() {
+fn end_mark_without_a_finish_reason_is_a_truncated_answer() {
     let only = attempt("a");
     let mut stream = Stream::new(only.clone(), 4);
     deliver(&mut stream, &only, 2);
