--- a/crates/cranberrygap-policy/src/leader_calls.rs
+++ b/crates/cranberrygap-policy/src/leader_calls.rs
@@ -2,7 +2,7 @@
 
 use cranberrygap_model::duration;
 
-/// Time of the leader that the interval grants to each entry's calls of one kind.
+/// Time of the leader that each entry's call of one kind may take per interval.
 const LEADER_TIME_PER_ENTRY: duration::Span = duration::Span(1_250);
 
 /// Returns the shortest interval between two calls of one kind from one entry, out of `entries`.
--- a/crates/cranberrygap-policy/src/limits/bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket.rs
@@ -41,9 +41,9 @@
 ///
 /// Refunds need free space in the share: with a shorter duration more of them were lost, with
 /// a longer one more tokens were out of the other entries' reach (`measure limits`).
-const STOCK_DURATION: duration::Span = duration::Span::from_millis(2_000);
+const CAP_DEMAND_DURATION: duration::Span = duration::Span::from_millis(2_000);
 
-/// Factor on `MIN_STOCK_REQUESTS` for an entry's first share, where another entry lends.
+/// Factor on `MIN_CAP_REQUESTS` for an entry's first share, where another entry lends.
 ///
 /// Without it, requests of several sizes would make shares come and go.
 const FIRST_SHARE_FACTOR: f64 = 2.0;
@@ -51,7 +51,7 @@
 /// Fraction of the burst that all shares together hold for their demand.
 ///
 /// The rest stays in the pool for entries that are short of tokens.
-const MAX_STOCKED_FRACTION: f64 = 0.4;
+const MAX_SHARED_BURST_FRACTION: f64 = 0.4;
 
 /// Number of typical requests that a share must be able to hold; a smaller one is not granted.
 ///
@@ -59,7 +59,7 @@
 /// 4,200 tokens per second, spread over 9 entries, a fifth of requests at 0.55 of the rate
 /// were refused (`limits_unequal`). The tokens of such a workspace stay in the pool and are
 /// lent.
-const MIN_STOCK_REQUESTS: f64 = 2.0;
+const MIN_CAP_REQUESTS: f64 = 2.0;
 
 /// Fraction by which the target rate may differ from a share's rate before the share changes.
 ///
@@ -91,6 +91,7 @@
     /// Whether the share was read from the log and its holder has not reported yet.
     inherited: bool,
     lease_end: duration::Instant,
+    /// Tokens per second that the entry's callers request.
     demand: f64,
     /// Recent cost of a typical request.
     typical_cost: f64,
@@ -265,7 +266,7 @@
             rate: self.rate.minus(self.shared_rate()),
             accrues_from: self.accrued_at,
             burst: self.burst,
-            // Where another entry lends, only entries that cannot reach it borrow here.
+            // Where another entry lends, only entries that cannot reach it borrow from the leader.
             lends_in_advance: !self.delegation.has_lender(),
         };
         let offer = self.loans.serve(now, owner, demand, &supply);
@@ -287,8 +288,8 @@
     /// Returns the demand of the entries that wait for the leader's tokens.
     fn direct_demand(&self) -> f64 {
         let waiting = self.loans.waiting_owners();
-        let known = waiting.filter_map(|owner| self.shares.get(owner));
-        known.map(|share| share.demand).sum()
+        let shares = waiting.filter_map(|owner| self.shares.get(owner));
+        shares.map(|share| share.demand).sum()
     }
 
     /// Returns whether entries with most of the demand cannot reach the lender.
@@ -364,7 +365,7 @@
         self.shares.owners()
     }
 
-    pub(super) fn shares(&self) -> usize {
+    pub(super) fn share_count(&self) -> usize {
         self.shares.len()
     }
 
@@ -420,7 +421,7 @@
             (was_open, is_known)
         });
         self.cap_pool();
-        // Tokens of a share that was closed here already count as spent.
+        // The tokens of a share that the leader has closed already count as spent.
         if was_open && is_known {
             self.pool = self.pool.plus(Amount::from_count(demand.returned));
         }
@@ -477,20 +478,20 @@
         let share_demand = self.shares.demand() * SHARE_DEMAND_FRACTION;
         let sharable = self.rate.0 / 10 * MAX_SHARED_TENTHS;
         let scale = (FixedRate(sharable).to_rate().0 / share_demand.max(1.0)).min(1.0);
-        let stock = self.target_stock(share);
+        let target_cap = self.target_cap(share);
         let (previous, min_requests) = if !self.delegation.has_lender() {
-            ((share.held.rate, share.held.cap), MIN_STOCK_REQUESTS)
+            ((share.held.rate, share.held.cap), MIN_CAP_REQUESTS)
         } else if share.desired.1 > Amount::ZERO {
-            (share.desired, MIN_STOCK_REQUESTS)
+            (share.desired, MIN_CAP_REQUESTS)
         } else {
-            (share.desired, MIN_STOCK_REQUESTS * FIRST_SHARE_FACTOR)
+            (share.desired, MIN_CAP_REQUESTS * FIRST_SHARE_FACTOR)
         };
-        if stock < share.typical_cost.max(1.0) * min_requests {
+        if target_cap < share.typical_cost.max(1.0) * min_requests {
             return (FixedRate::ZERO, Amount::ZERO);
         }
         let desired_rate = share.demand * SHARE_DEMAND_FRACTION * scale;
         let rate = with_hysteresis(previous.0.to_rate().0, desired_rate, RATE_TOLERANCE);
-        let cap = with_hysteresis(previous.1.as_f64(), stock, CAP_TOLERANCE);
+        let cap = with_hysteresis(previous.1.as_f64(), target_cap, CAP_TOLERANCE);
         (
             FixedRate::from_rate(token::Rate(rate)),
             Amount::from_count(amount::ceil_count(cap)),
@@ -502,10 +503,10 @@
     /// The pool cannot hold what shares may hold. With a burst of about one second's rate,
     /// shares for two seconds of demand left no space for the pool, and all tokens that
     /// accrued there were lost: workspaces at half their rate were refused.
-    fn target_stock(&self, share: &Share) -> f64 {
+    fn target_cap(&self, share: &Share) -> f64 {
         let demand_fraction = share.demand / self.shares.demand().max(1.0);
-        let fair_stock = self.burst.as_f64() * MAX_STOCKED_FRACTION * demand_fraction;
-        fair_stock.min(share.demand * STOCK_DURATION.as_secs_f64())
+        let fair_cap = self.burst.as_f64() * MAX_SHARED_BURST_FRACTION * demand_fraction;
+        fair_cap.min(share.demand * CAP_DEMAND_DURATION.as_secs_f64())
     }
 
     /// Moves tokens from the pool into the space that the holder keeps free.
--- a/crates/cranberrygap-policy/src/limits/bucket/delegation.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket/delegation.rs
@@ -1,4 +1,7 @@
 //! Delegation of a bucket's pool to the entry that lends, and the part that the leader keeps.
+//!
+//! Entries that cannot reach the lender send direct requests to the leader, which keeps a
+//! direct reserve for them.
 
 use cranberrygap_model::{duration, id, token};
 
@@ -12,18 +15,16 @@
 /// renewals.
 const RESERVE_STEP_DIVISOR: u64 = 32;
 
-/// Time for which a part is kept for entries that cannot reach the lender.
-///
-/// Counted from the last request of such an entry.
+/// Time for which the direct reserve is kept after the last direct request.
 const DIRECT_RESERVE_DURATION: duration::Span = duration::Span::from_secs(5);
 
-/// Number of steps in which the part kept for these entries grows.
+/// Number of steps in which the direct reserve grows up to the whole rate and burst.
 const DIRECT_RESERVE_STEPS: u64 = 8;
 
-/// Fraction of all demand, above which entries that cannot reach a lender make it unreachable.
+/// Fraction of all demand above which direct requests make the lender count as unreachable.
 const UNREACHABLE_FRACTION: f64 = 0.5;
 
-/// Factor on the demand of these entries for the part that is kept for them.
+/// Factor of the direct reserve's rate over the demand of direct requests.
 const DIRECT_RESERVE_FACTOR: f64 = 1.5;
 
 /// Rate and number of tokens.
@@ -33,14 +34,14 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Delegation {
     lender: Option<id::Instance>,
-    /// Part kept for entries that ask the leader because they cannot reach the lender.
+    /// Part kept for direct requests.
     direct_reserve: RateAndTokens,
     /// Time until which `direct_reserve` is kept.
     direct_reserve_end: duration::Instant,
 }
 
 impl Delegation {
-    /// Sets the lender; nothing is kept for entries that cannot reach a new one.
+    /// Sets the lender; a new one starts without a direct reserve.
     pub(super) fn set_lender(&mut self, lender: Option<&id::Instance>) {
         if self.lender.as_ref() != lender {
             *self = Self {
@@ -55,7 +56,7 @@
         self.lender.is_some()
     }
 
-    /// Keeps a part for entries with this demand that ask the leader for `waiting` tokens.
+    /// Sets the direct reserve for direct requests with this demand that wait for `waiting` tokens.
     pub(super) fn reserve_direct(
         &mut self,
         now: duration::Instant,
@@ -69,7 +70,7 @@
         let burst_part = burst.as_f64() * (kept_rate / rate.to_rate().0.max(1.0)).min(1.0);
         let needed_tokens =
             Amount::from_count(amount::ceil_count(burst_part)).max(waiting.plus(waiting));
-        // The part grows in steps, since each change of what is lent is an entry in the log.
+        // The reserve grows in steps, since each change of what is lent is an entry in the log.
         let round_up =
             |limit: u64, part: u64| part.next_multiple_of((limit / DIRECT_RESERVE_STEPS).max(1));
         self.direct_reserve = (
@@ -83,7 +84,7 @@
         self.direct_reserve_end = now.after(DIRECT_RESERVE_DURATION);
     }
 
-    /// Returns the part kept for entries that ask the leader.
+    /// Returns the direct reserve, or nothing once its time is over.
     fn current_direct_reserve(&self, now: duration::Instant) -> RateAndTokens {
         if now < self.direct_reserve_end {
             self.direct_reserve
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Returns whether entries with most of all demand cannot reach the lender.
+    /// Returns whether direct requests make up most of all demand.
     pub(super) fn is_lender_unreachable(&self, direct_demand: f64, total_demand: f64) -> bool {
         self.has_lender()
             && direct_demand >= 1.0
--- a/crates/cranberrygap-policy/src/limits/bucket/share_table.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket/share_table.rs
@@ -31,6 +31,7 @@
         self.shares.get(owner)
     }
 
+    /// Returns the owners of shares that are not closed.
     pub(super) fn owners(&self) -> impl Iterator<Item = &Owner> {
         let open = self.shares.iter();
         let open =
--- a/crates/cranberrygap-policy/src/limits/granter.rs
+++ b/crates/cranberrygap-policy/src/limits/granter.rs
@@ -243,7 +243,7 @@
                 rate: rate.to_rate(),
                 cap: cap.floor(),
                 pool: pool.floor(),
-                shares: bucket.shares(),
+                shares: bucket.share_count(),
             }
         };
         self.buckets.iter().map(dump).collect()
--- a/crates/cranberrygap-policy/src/limits/guarantee.rs
+++ b/crates/cranberrygap-policy/src/limits/guarantee.rs
@@ -8,13 +8,13 @@
 ///
 /// A new leader does not know what its predecessor lent. If its pool started empty, all
 /// callers would wait for seconds after each election, including those far below their rate.
-/// So a leader with many tokens records in the log how many it keeps, and records a lower
-/// bound before its pool falls below the recorded one.
+/// So a leader with many tokens records in the log how many it keeps, and records a
+/// smaller number before its pool falls below it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Guarantee {
     /// Tokens that the pool keeps.
     pub(super) amount: Amount,
-    /// Tokens that the log says it keeps.
+    /// Tokens that the log says the pool keeps.
     pub(super) logged_amount: Amount,
     changed_at: duration::Instant,
 }
--- a/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
+++ b/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
@@ -92,11 +92,11 @@
             due.is_some_and(|due| now >= due)
         });
         let due: Vec<id::Instance> = due.map(|(lender, _)| lender.clone()).collect();
-        let asked = due.into_iter().filter_map(|lender| {
+        let sent = due.into_iter().filter_map(|lender| {
             let request = self.loan_request(now, &lender)?;
             Some((lender, request))
         });
-        asked.collect()
+        sent.collect()
     }
 
     fn loan_request(
@@ -106,20 +106,20 @@
     ) -> Option<share::Renew> {
         let requests = self.lenders.get_mut(lender)?;
         if requests.give_up_expired(now) {
-            // The leader is asked meanwhile; the lender is asked again after a pause.
+            // The leader is workspaces meanwhile; the lender is workspaces again after a pause.
             return None;
         }
         if let Some(resent) = requests.resend(now) {
             return Some(resent);
         }
-        let borrows = !requests.is_silent();
+        let may_borrow = !requests.is_silent();
         let source = LoanSource::Entry(lender.clone());
-        let asked = workspaces_to_report(&self.buckets, lender, self.renewals.sequence());
-        let mut demands = Vec::with_capacity(asked.len());
-        for workspace in asked {
+        let workspaces = workspaces_to_report(&self.buckets, lender, self.renewals.sequence());
+        let mut demands = Vec::with_capacity(workspaces.len());
+        for workspace in workspaces {
             if let Some(bucket) = self.buckets.get_mut(&workspace) {
                 bucket.advance(now);
-                demands.push(bucket.take_loan_demand(now, &workspace, &source, borrows));
+                demands.push(bucket.take_loan_demand(now, &workspace, &source, may_borrow));
             }
         }
         let request = share::Renew {
@@ -182,13 +182,13 @@
         let has_lender = bucket.borrows_from_lender() && bucket.lender.as_ref() == Some(lender);
         has_lender && bucket.has_report_for(&source)
     });
-    let (mut waiting, rest): (Vec<_>, Vec<_>) =
+    let (mut waiting, others): (Vec<_>, Vec<_>) =
         reporting.partition(|(_, bucket)| bucket.shortage() > Amount::ZERO);
     if waiting.len() > MAX_WORKSPACES {
         let turn = usize::try_from(turn.0).unwrap_or_default() * MAX_WORKSPACES;
-        let begin = turn % waiting.len();
-        waiting.rotate_left(begin);
+        let start = turn % waiting.len();
+        waiting.rotate_left(start);
     }
-    let asked = waiting.into_iter().chain(rest).take(MAX_WORKSPACES);
-    asked.map(|(workspace, _)| workspace.clone()).collect()
+    let selected = waiting.into_iter().chain(others).take(MAX_WORKSPACES);
+    selected.map(|(workspace, _)| workspace.clone()).collect()
 }
--- a/crates/cranberrygap-policy/src/limits/lending.rs
+++ b/crates/cranberrygap-policy/src/limits/lending.rs
@@ -381,14 +381,14 @@
 
     /// Returns whether the next renewal must not wait for the regular interval.
     fn is_urgent(&self) -> bool {
-        let holds = self.share != 0 && self.cap > Amount::ZERO;
-        self.unconfirmed || self.is_selected != holds
+        let has_share = self.share != 0 && self.cap > Amount::ZERO;
+        self.unconfirmed || self.is_selected != has_share
     }
 
-    /// Returns whether the pool has no tokens, loans or messages left.
+    /// Returns whether the pool has nothing left to hold, lend, return or confirm.
     fn is_finished(&self) -> bool {
-        let holds = self.cap > Amount::ZERO || self.loans.outstanding() > Amount::ZERO;
-        !self.is_selected && !holds && !self.unconfirmed && self.surplus.floor().0 == 0
+        let holds_tokens = self.cap > Amount::ZERO || self.loans.outstanding() > Amount::ZERO;
+        !self.is_selected && !holds_tokens && !self.unconfirmed && self.surplus.floor().0 == 0
     }
 
     fn close(&mut self) {
--- a/crates/cranberrygap-policy/src/limits/loan_issuer.rs
+++ b/crates/cranberrygap-policy/src/limits/loan_issuer.rs
@@ -32,7 +32,7 @@
 /// the duration, as with leases.
 const LOAN_MARGIN: duration::Span = duration::Span(LOAN_DURATION.0 / 64);
 
-/// Time after which a waiting entry that was not heard again leaves the queue.
+/// Time without a new request after which a waiting entry leaves the queue.
 ///
 /// A waiting entry renews at least every quarter of a second.
 const REQUEST_TIMEOUT: duration::Span = duration::Span::from_millis(600);
@@ -73,7 +73,9 @@
 #[derive(Debug, Clone)]
 struct Request {
     owner: Owner,
+    /// Tokens that the entry's first waiting request lacks.
     first: Amount,
+    /// Tokens that all its waiting requests lack.
     wanted: Amount,
     received_at: duration::Instant,
     /// Tokens of smaller requests that overtook this one.
@@ -177,23 +179,23 @@
         self.outstanding
     }
 
-    /// Updates a holder's loans from its report; returns the tokens that it hands back.
+    /// Updates a holder's loans from its report; returns the tokens that it gives back.
     ///
     /// A holder drops every answer but the awaited one, so when it renews it has exactly what
     /// it reports: loans of lost answers are gone.
     pub(super) fn confirm_loans(
         &mut self,
         owner: &Owner,
-        kept: Amount,
+        still_held: Amount,
         returned_tokens: Amount,
     ) -> Amount {
         let Some(loans) = self.loans.get_mut(owner) else {
             return Amount::ZERO;
         };
-        let known = loans
+        let issued = loans
             .iter()
             .fold(Amount::ZERO, |sum, loan| sum.plus(loan.remaining));
-        let mut lost = known.minus(kept);
+        let mut lost = issued.minus(still_held);
         for loan in loans.iter_mut() {
             let part = lost.min(loan.remaining);
             loan.remaining = loan.remaining.minus(part);
@@ -201,7 +203,7 @@
             lost = lost.minus(part);
         }
         loans.retain(|loan| loan.remaining > Amount::ZERO);
-        returned_tokens.min(known.minus(kept))
+        returned_tokens.min(issued.minus(still_held))
     }
 
     /// Queues what an entry waits for; a `first` of zero removes the entry.
@@ -254,14 +256,14 @@
         let ahead = self.tokens_ahead(owner);
         if ahead.plus(first) > supply.pool {
             let delay = supply.accrues_from.since(now);
-            let time = |amount: Amount| {
+            let time_until = |amount: Amount| {
                 let missing = ahead.plus(amount).minus(supply.pool);
                 duration::Span(supply.rate.time_to_accrue(missing).0 + delay.0)
             };
             return Offer {
                 lent: Amount::ZERO,
-                first_wait: time(first),
-                total_wait: time(wanted),
+                first_wait: time_until(first),
+                total_wait: time_until(wanted),
             };
         }
         let free = supply.pool.minus(ahead);
@@ -271,11 +273,11 @@
         let lent = if wanted > free {
             first
         } else {
-            let rest = free.minus(wanted);
-            let more = supply
+            let remaining = free.minus(wanted);
+            let advance = supply
                 .lends_in_advance
-                .then(|| advance_tokens(demand, rest, supply.burst));
-            wanted.plus(more.unwrap_or_default())
+                .then(|| advance_tokens(demand, remaining, supply.burst));
+            wanted.plus(advance.unwrap_or_default())
         };
         let lent = Amount::from_count(lent.floor());
         self.issue(now, owner, lent);
@@ -322,14 +324,16 @@
 /// These are the tokens of one renewal interval and one typical request, limited while the
 /// pool is low.
 fn advance_tokens(demand: &share::Demand, free: Amount, burst: Amount) -> Amount {
-    let kept = burst.as_f64() * RESERVED_BURST_FRACTION;
-    let rich = (free.as_f64() - kept).max(0.0) * ADVANCE_FRACTION;
-    let period = demand.rate.0 * RENEWAL_INTERVAL.as_secs_f64();
-    let useful = if demand.rate.0 >= 1.0 {
-        period + demand.usual.0 as f64
+    let reserved = burst.as_f64() * RESERVED_BURST_FRACTION;
+    let max_advance = (free.as_f64() - reserved).max(0.0) * ADVANCE_FRACTION;
+    let interval_demand = demand.rate.0 * RENEWAL_INTERVAL.as_secs_f64();
+    let expected_use = if demand.rate.0 >= 1.0 {
+        interval_demand + demand.usual.0 as f64
     } else {
         0.0
     };
-    let has = demand.lent.0 as f64;
-    Amount::from_count(amount::ceil_count((useful - has).max(0.0).min(rich)))
+    let held = demand.lent.0 as f64;
+    Amount::from_count(amount::ceil_count(
+        (expected_use - held).max(0.0).min(max_advance),
+    ))
 }
--- a/crates/cranberrygap-policy/src/limits/loan_requests.rs
+++ b/crates/cranberrygap-policy/src/limits/loan_requests.rs
@@ -25,6 +25,7 @@
     is_silent: bool,
 }
 
+/// Request whose answer is awaited.
 #[derive(Debug)]
 struct Pending {
     request: share::Renew,
--- a/crates/cranberrygap-policy/src/limits/local_bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/local_bucket.rs
@@ -64,7 +64,9 @@
     /// Moving average of request costs.
     typical_cost: f64,
     accrued_at: duration::Instant,
+    /// Tokens that callers requested since `measured_at`.
     requested: Amount,
+    /// Moving average of the tokens that callers request per second.
     demand: f64,
     measured_at: duration::Instant,
     pub(super) refunds: RefundLimit,
@@ -323,8 +325,8 @@
 
     /// Returns whether the bucket holds a share or a loan of the leader.
     pub(super) fn holds_leader_tokens(&self) -> bool {
-        let share = self.rate > FixedRate::ZERO || self.cap > Amount::ZERO;
-        share || self.loans.has_from(&LoanSource::Leader)
+        let has_share = self.rate > FixedRate::ZERO || self.cap > Amount::ZERO;
+        has_share || self.loans.has_from(&LoanSource::Leader)
     }
 
     /// Returns when the first waiting request can be served from accrual, or a deadline passes.
@@ -385,9 +387,10 @@
 
     /// Returns whether there is nothing to hold, request or confirm.
     pub(super) fn is_idle(&self) -> bool {
-        let holds = self.rate > FixedRate::ZERO || self.cap > Amount::ZERO;
-        let asks = self.requested > Amount::ZERO || !self.queue.is_empty() || self.demand >= 1.0;
-        !holds && !asks && !self.unconfirmed && self.loans.is_empty()
+        let has_share = self.rate > FixedRate::ZERO || self.cap > Amount::ZERO;
+        let has_demand =
+            self.requested > Amount::ZERO || !self.queue.is_empty() || self.demand >= 1.0;
+        !has_share && !has_demand && !self.unconfirmed && self.loans.is_empty()
     }
 
     /// Drops the share and all its tokens and refunds when its lease has run out.
--- a/crates/cranberrygap-policy/src/limits/refund_limit.rs
+++ b/crates/cranberrygap-policy/src/limits/refund_limit.rs
@@ -21,6 +21,7 @@
     groups: VecDeque<Group>,
 }
 
+/// Consecutive reservations with the same least free space.
 #[derive(Debug, Clone, Copy)]
 struct Group {
     first_reservation: u64,
--- a/crates/cranberrygap-policy/src/limits/wait_queue.rs
+++ b/crates/cranberrygap-policy/src/limits/wait_queue.rs
@@ -11,6 +11,7 @@
 /// Factor by which a request must be smaller than a queued one to overtake it.
 const OVERTAKE_FACTOR: u64 = 3;
 
+/// Request in the queue.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiter {
     pub(super) ticket: u64,
@@ -48,7 +49,7 @@
     }
 }
 
-/// Whether the lender knows of a waiting request.
+/// Whether the leader or lender that is asked knows of a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     New,
@@ -62,7 +63,7 @@
     total_cost: Amount,
 }
 
-/// Forecast of the leader when waiting requests may get their tokens.
+/// Forecast in an answer of when waiting requests may get their tokens.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Forecast {
     /// Tokens that the first request lacked when it was made.
@@ -81,14 +82,15 @@
         if shortage <= self.first_shortage {
             return self.first_at;
         }
-        let more = shortage.minus(self.first_shortage).as_f64();
-        let rest = self
+        let beyond_first = shortage.minus(self.first_shortage).as_f64();
+        let total_beyond_first = self
             .total_shortage
             .minus(self.first_shortage)
             .as_f64()
             .max(1.0);
         let span = self.all_at.since(self.first_at);
-        self.first_at.after(span.scaled(more / rest))
+        self.first_at
+            .after(span.scaled(beyond_first / total_beyond_first))
     }
 }
 
@@ -219,12 +221,12 @@
         rate: FixedRate,
         forecast: Option<Forecast>,
     ) -> Vec<(u64, duration::Span)> {
-        let mut given_up = Vec::new();
+        let mut removed = Vec::new();
         let mut ahead = Amount::ZERO;
         let mut total = self.total_cost;
         self.waiters.retain(|waiter| {
-            let needs = ahead.plus(waiter.cost);
-            let shortage = needs.minus(level);
+            let needed = ahead.plus(waiter.cost);
+            let shortage = needed.minus(level);
             let accrued_at = now.after(rate.time_to_accrue(shortage));
             // Without a forecast for the remaining requests, the leader may well have tokens:
             // other requests took the ones that arrived.
@@ -232,17 +234,17 @@
             let served_at = accrued_at.min(lent_at);
             let is_late = served_at > waiter.queue_deadline;
             let is_answered = waiter.stage == Stage::Answered;
-            let drop = now >= waiter.leader_deadline || (is_answered && is_late);
-            if drop {
-                given_up.push((waiter.ticket, served_at.since(now)));
+            let is_removed = now >= waiter.leader_deadline || (is_answered && is_late);
+            if is_removed {
+                removed.push((waiter.ticket, served_at.since(now)));
                 total = total.minus(waiter.cost);
             } else {
-                ahead = needs;
+                ahead = needed;
             }
-            !drop
+            !is_removed
         });
         self.total_cost = total;
-        given_up
+        removed
     }
 
     pub(super) fn next_deadline(&self) -> Option<duration::Instant> {
