--- a/crates/cranberrygap-control/src/residency.rs
+++ b/crates/cranberrygap-control/src/residency.rs
@@ -12,7 +12,7 @@
 
 use cranberrygap_link::{clock, server};
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_placement::residency::{book, order};
+use cranberrygap_placement::residency::{order, planner};
 use cranberrygap_state::command;
 use cranberrygap_wire::{method, traffic, view};
 use futures_util::future::BoxFuture;
@@ -43,14 +43,14 @@
     NoAnswer(SmolStr),
     /// The answer cannot be read.
     #[error("the answer is not in the expected form: {0}")]
-    Form(SmolStr),
+    Malformed(SmolStr),
 }
 
 /// Runners as a leader reaches them; another form of their calls is another
 /// translator.
-pub trait Runners: Send + Sync + std::fmt::Debug {
+pub trait RunnerClient: Send + Sync + std::fmt::Debug {
     /// Sends an order under the leader's name and fencing token.
-    fn order<'call>(
+    fn send_order<'call>(
         &'call self,
         holder: &'call id::Instance,
         fence: number::Fence,
@@ -58,7 +58,7 @@
     ) -> BoxFuture<'call, Result<order::Verdict, Error>>;
 
     /// Asks a runner what it holds.
-    fn report<'call>(
+    fn fetch_report<'call>(
         &'call self,
         address: address::Socket,
         endpoint: &'call id::Endpoint,
@@ -67,15 +67,15 @@
 
 /// Runners that nobody can reach, for fleets without such.
 #[must_use]
-pub fn none() -> Arc<dyn Runners> {
+pub fn no_runners() -> Arc<dyn RunnerClient> {
     Arc::new(NoRunners)
 }
 
 #[derive(Debug, Clone, Copy)]
 struct NoRunners;
 
-impl Runners for NoRunners {
-    fn order<'call>(
+impl RunnerClient for NoRunners {
+    fn send_order<'call>(
         &'call self,
         _holder: &'call id::Instance,
         _fence: number::Fence,
@@ -84,7 +84,7 @@
         Box::pin(async { Err(Error::NoAnswer("no form of orders is set up".into())) })
     }
 
-    fn report<'call>(
+    fn fetch_report<'call>(
         &'call self,
         _address: address::Socket,
         _endpoint: &'call id::Endpoint,
@@ -98,7 +98,7 @@
 pub(crate) struct Residency {
     state: Arc<replicated::State>,
     proposer: proposer::Proposer,
-    runners: Arc<dyn Runners>,
+    runners: Arc<dyn RunnerClient>,
     holder: id::Instance,
     clock: clock::Clock,
     demand: Mutex<demand::Demand>,
@@ -129,7 +129,7 @@
     pub(crate) fn new(
         state: Arc<replicated::State>,
         proposer: proposer::Proposer,
-        runners: Arc<dyn Runners>,
+        runners: Arc<dyn RunnerClient>,
         holder: id::Instance,
         clock: clock::Clock,
         metrics: metric::Recorder,
@@ -221,7 +221,7 @@
         let books = held
             .into_iter()
             .flat_map(|leadership| leadership.books.values());
-        let wake = books.filter_map(book::Book::wake).min();
+        let wake = books.filter_map(planner::Planner::next_wake).min();
         wake.map_or(PERIOD, |wake| wake.since(self.clock.now()).to_std())
     }
 
@@ -245,10 +245,10 @@
             leadership.follow_plan(now, fleet);
             for book in leadership.books.values_mut() {
                 let endpoints = fleet.endpoints.announcements();
-                book.follow(now, endpoints, |name| fleet.residencies.get(name).cloned());
+                book.update_endpoints(now, endpoints, |name| fleet.residencies.get(name).cloned());
                 book.set_demand(now, demand.clone());
                 for adapter in &used {
-                    book.used(now, adapter);
+                    book.mark_adapter_used(now, adapter);
                 }
             }
         });
@@ -275,18 +275,18 @@
                 leadership.want(now, ticket, &want, answer);
             }
             News::Reported(of, service, name, report) if of == since => {
-                leadership.with(&service, |book| book.reported(now, &name, &report));
+                leadership.with(&service, |book| book.handle_report(now, &name, &report));
             }
             News::Answered(of, service, name, number, verdict) if of == since => {
                 leadership.with(&service, |book| {
-                    book.answered(now, &name, number, verdict);
+                    book.handle_verdict(now, &name, number, verdict);
                 });
             }
             News::Unanswered(of, service, name, number) if of == since => {
-                leadership.with(&service, |book| book.unanswered(now, &name, number));
+                leadership.with(&service, |book| book.handle_no_answer(now, &name, number));
             }
             News::Told(of, service, word) if of == since => {
-                leadership.with(&service, |book| book.told(now, &word));
+                leadership.with(&service, |book| book.confirm_residency(now, &word));
             }
             // Of an earlier term.
             _ => {}
@@ -319,17 +319,22 @@
         }
     }
 
-    fn carry_out(&self, leadership: &mut Leadership, service: id::Service, output: book::Output) {
+    fn carry_out(
+        &self,
+        leadership: &mut Leadership,
+        service: id::Service,
+        output: planner::Output,
+    ) {
         match output {
-            book::Output::Place(ticket, endpoint) => {
+            planner::Output::ResolveAdapter(ticket, endpoint) => {
                 if let Some(answer) = leadership.waiting.remove(&ticket) {
                     // An entry that has gone needs no answer.
                     drop(answer.send(endpoint));
                 }
             }
-            book::Output::Ask(name) => self.ask(leadership, service, name),
-            book::Output::Send(order) => self.send(leadership, service, order),
-            book::Output::Tell(name) => self.tell(leadership, service, &name),
+            planner::Output::FetchReport(name) => self.ask(leadership, service, name),
+            planner::Output::Send(order) => self.send(leadership, service, order),
+            planner::Output::PublishResidency(name) => self.tell(leadership, service, &name),
         }
     }
 
@@ -344,7 +349,7 @@
         let (runners, news) = (Arc::clone(&self.runners), self.news.clone());
         let since = leadership.since;
         tokio::spawn(async move {
-            match runners.report(address, &name).await {
+            match runners.fetch_report(address, &name).await {
                 Ok(report) => {
                     drop(
                         news.send(News::Reported(since, service, name, report))
@@ -359,13 +364,13 @@
 
     fn send(&self, leadership: &Leadership, service: id::Service, order: order::Order) {
         let book = leadership.books.get(&service);
-        let room = book.and_then(|book| book.room(self.clock.now(), &order.endpoint));
+        let room = book.and_then(|book| book.usage(self.clock.now(), &order.endpoint));
         let room = room.map_or_else(SmolStr::default, |room| format_smolstr!("{room}"));
         spdlog::info!(
             "residency: orders {} from {} as its number {}: {room}",
             order.action,
             order.endpoint,
-            order.expect
+            order.expected_count
         );
         let (runners, news) = (Arc::clone(&self.runners), self.news.clone());
         let (holder, since) = (self.holder.clone(), leadership.since);
@@ -377,7 +382,7 @@
                 return;
             }
             let (name, number) = (order.endpoint.clone(), order.number);
-            let told = match runners.order(&holder, fence, &order).await {
+            let told = match runners.send_order(&holder, fence, &order).await {
                 Ok(verdict) => {
                     // An adapter whose drop is not done with its answer keeps its place.
                     let drops = matches!(order.action, order::Action::UnloadAdapter(..));
@@ -404,7 +409,7 @@
         let Some(runner) = runner else {
             return;
         };
-        let adapters = runner.room.offered();
+        let adapters = runner.inventory.offered_adapters();
         let adapters = adapters.filter_map(|((model, adapter), _)| {
             let name = format_smolstr!("{model}/{adapter}");
             name.parse().ok()
@@ -412,7 +417,7 @@
         let told = view::Residency {
             endpoint: name.clone(),
             boot: runner.boot,
-            retiring: runner.leaving().cloned().into_iter().collect(),
+            retiring: runner.outgoing_model().cloned().into_iter().collect(),
             adapters: adapters.collect(),
         };
         let (proposer, news) = (self.proposer.clone(), self.news.clone());
@@ -432,6 +437,6 @@
     let books = held
         .into_iter()
         .flat_map(|leadership| leadership.books.values());
-    let books: Vec<serde_json::Value> = books.map(book::Book::dump).collect();
+    let books: Vec<serde_json::Value> = books.map(planner::Planner::dump).collect();
     serde_json::json!(books)
 }
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_policy::limits::holder;
-use cranberrygap_routing::prompt::{memory, tally};
+use cranberrygap_routing::prompt::{backlog, prefix_cache};
 use cranberrygap_state::traffic as state;
 use cranberrygap_wire::traffic;
 use http::uri::PathAndQuery;
@@ -60,8 +60,8 @@
     pub host: SmolStr,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub ask: dialect::Ask,
-    pub chain: memory::Chain,
+    pub ask: dialect::Metadata,
+    pub chain: prefix_cache::Chain,
     pub arrived: duration::Instant,
     /// Draws the part of a split route, the same for all its sends.
     pub roll: f64,
@@ -99,7 +99,7 @@
 
     /// Rank as the endpoints tells ranks apart.
     pub(crate) fn rank(&self) -> usize {
-        (self.priority() as usize).min(tally::RANKS - 1)
+        (self.priority() as usize).min(backlog::RANKS - 1)
     }
 }
 
@@ -133,7 +133,7 @@
             return Ok(None);
         }
         let key = self.ask.key.as_ref().ok_or(Failure::NoKey)?;
-        let key = state::hash(key);
+        let key = state::key_hash(key);
         let workspace = table.workspace(&key).ok_or(Failure::NoKey)?;
         Ok(Some(Payer {
             name: workspace.workspace.clone(),
@@ -168,7 +168,7 @@
 
     /// The moment by which the caller must have its answer.
     pub(crate) fn deadline(&self, route: &traffic::Route) -> duration::Instant {
-        let patience = self.ask.patience.unwrap_or(route.deadline);
+        let patience = self.ask.timeout.unwrap_or(route.deadline);
         self.arrived.after(patience.min(route.deadline))
     }
 }
@@ -229,7 +229,7 @@
     body: Incoming,
     told: &mut story::Story,
 ) -> Result<Response<answer::Body>, Failure> {
-    let ask = gateway.dialect.read(&head.headers);
+    let ask = gateway.dialect.read_headers(&head.headers);
     let ask = ask.map_err(Failure::Malformed)?;
     told.id.clone_from(&ask.id);
     let body = read_body(gateway, body).await?;
@@ -294,13 +294,13 @@
     arrived: duration::Instant,
     head: request::Parts,
     body: Bytes,
-    ask: dialect::Ask,
+    ask: dialect::Metadata,
 ) -> Result<Facts, Failure> {
     let host = host(&head).ok_or_else(|| Failure::Malformed("there is no host".into()))?;
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let model = ask.model.as_ref().map_or("", id::Model::as_str);
-    let chain = memory::Chain::new(model, ask.adapter.as_deref(), &ask.parts);
+    let chain = prefix_cache::Chain::new(model, ask.adapter.as_deref(), &ask.prompt_parts);
     let mut headers = head.headers;
     answer::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -376,7 +376,7 @@
         in_queue: duration::Span(objective.0 / LINE_PART).min(LINE_WAIT),
         for_leader: duration::Span(given.0 / LEADER_PART),
     };
-    let reserved = admission::Permit::reserve_within(limiter, &payer.name, cost, patience);
+    let reserved = admission::Permit::reserve_with_max_wait(limiter, &payer.name, cost, patience);
     let permit = tokio::select! {
         biased;
         permit = reserved => permit,
@@ -385,7 +385,7 @@
     match permit {
         Ok(permit) => Ok(Some(permit)),
         Err(refused) => Err(Failure::OverRate {
-            wait: failure::spread(refused.wait()),
+            wait: failure::spread(refused.retry_after()),
         }),
     }
 }
