--- a/crates/cranberrygap-policy/src/limits/bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/bucket.rs
@@ -370,12 +370,12 @@
     }
 
     fn accrue(&mut self, now: duration::Instant) {
-        let gained = self
+        let accrued = self
             .rate
             .minus(self.shared_rate())
             .accrued_in(now.since(self.accrued_at));
         self.accrued_at = self.accrued_at.max(now);
-        self.pool = self.pool.plus(gained);
+        self.pool = self.pool.plus(accrued);
         self.cap_pool();
     }
 
--- a/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
+++ b/crates/cranberrygap-policy/src/limits/holder/borrowing.rs
@@ -36,8 +36,9 @@
                 bucket.set_lender(None);
             }
         }
-        let named: Vec<&id::Instance> = lenders.values().collect();
-        self.lenders.retain(|lender, _| named.contains(&lender));
+        let current_lenders: Vec<&id::Instance> = lenders.values().collect();
+        self.lenders
+            .retain(|lender, _| current_lenders.contains(&lender));
     }
 
     /// Returns the time at which [`Holder::due_loan_requests`] next has something to send.
@@ -68,11 +69,11 @@
             if !bucket.borrows_from_lender() {
                 return bucket.retry_lender_at().map(|at| at.max(earliest));
             }
-            let returns = bucket.return_loans_at(&source).map(|at| at.max(earliest));
+            let return_at = bucket.return_loans_at(&source).map(|at| at.max(earliest));
             bucket
                 .next_request_at(earliest)
                 .into_iter()
-                .chain(returns)
+                .chain(return_at)
                 .min()
         });
         due.min()
--- a/crates/cranberrygap-policy/src/limits/lending.rs
+++ b/crates/cranberrygap-policy/src/limits/lending.rs
@@ -285,9 +285,9 @@
             self.drop_share();
         }
         self.loans.expire(now);
-        let gained = self.rate.accrued_in(now.since(self.accrued_at));
+        let accrued = self.rate.accrued_in(now.since(self.accrued_at));
         self.accrued_at = self.accrued_at.max(now);
-        self.level = self.level.plus(gained);
+        self.level = self.level.plus(accrued);
         self.cap_level();
     }
 
--- a/crates/cranberrygap-policy/src/limits/local_bucket.rs
+++ b/crates/cranberrygap-policy/src/limits/local_bucket.rs
@@ -86,9 +86,9 @@
         if self.share != 0 && now >= self.lease_end {
             self.drop_share();
         }
-        let gained = self.rate.accrued_in(now.since(self.accrued_at));
+        let accrued = self.rate.accrued_in(now.since(self.accrued_at));
         self.accrued_at = self.accrued_at.max(now);
-        self.level = self.level.plus(gained).min(self.max_level());
+        self.level = self.level.plus(accrued).min(self.max_level());
         self.loans.expire(now);
         self.denied_until = self.denied_until.filter(|until| now < *until);
         self.observe_free_space();
