--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -199,7 +199,7 @@
         let mut inner = self.inner.lock();
         for (lender, request) in inner.holder.due_loan_requests(now) {
             if lender == *own_instance {
-                let loan = inner.lender.answer(now, &request);
+                let loan = inner.lender.answer_loan_request(now, &request);
                 if let Some(loan) = loan {
                     inner.holder.apply_loans(now, own_instance, &loan);
                 }
@@ -226,7 +226,7 @@
         if !is_known {
             return None;
         }
-        inner.lender.answer(now, request)
+        inner.lender.answer_loan_request(now, request)
     }
 
     /// Applies a loan from the entry at `from`.
