--- a/crates/cranberrygap-entry/src/gateway.rs
+++ b/crates/cranberrygap-entry/src/gateway.rs
@@ -1,26 +1,25 @@
-//! Serves the routes of the traffic plan: any method, path and body.
+//! Gateway: serves the routes of the traffic plan, for any method, path and body.
 //!
-//! A request is read whole, checked against the plan in force, sent to one
-//! endpoint at a time over connections that this entry owns, and its answer is
-//! passed on as it comes. How callers and endpoints word the facts of a request is
-//! a [`dialect::Dialect`]'s business.
+//! A request is read whole, checked against the plan in force and sent to one endpoint at
+//! a time, over connections that this entry owns; the response is forwarded as it arrives.
+//! A [`dialect::Dialect`] reads and writes the headers of callers and endpoints.
 
-mod answer;
-mod connection;
+mod activity;
+mod caller_connection;
 mod delivery;
 pub mod dialect;
+mod endpoint_connection;
 mod endpoints;
 mod failure;
-mod flight;
 mod gossip;
-mod head;
-mod line;
+mod in_flight;
 mod listener;
+mod log_limit;
 mod pool;
 mod request;
-mod story;
+mod request_log;
+mod response;
 mod stream;
-mod volume;
 
 pub(crate) use endpoints::Endpoints;
 pub(crate) use gossip::Gossip;
@@ -33,14 +32,14 @@
 
 use crate::core;
 
-/// The parts of a gateway that all its requests share.
+/// State shared by all requests of a gateway.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub(crate) core: Arc<core::Core>,
     pub(crate) dialect: Arc<dyn dialect::Dialect>,
     pub(crate) pool: pool::Pool,
-    pub(crate) reserve: Mutex<reserve::Reserve>,
-    pub(crate) volume: volume::Volume,
+    pub(crate) resend_budget: Mutex<reserve::Reserve>,
+    pub(crate) log_limiter: log_limit::Limiter,
 }
 
 impl Gateway {
@@ -49,8 +48,8 @@
             core,
             dialect,
             pool: pool::Pool::default(),
-            reserve: Mutex::default(),
-            volume: volume::Volume::default(),
+            resend_budget: Mutex::default(),
+            log_limiter: log_limit::Limiter::default(),
         })
     }
 }
--- /dev/null
+++ b/crates/cranberrygap-entry/src/gateway/activity.rs
@@ -0,0 +1,163 @@
+//! Activity of a caller's connection; detects request heads that arrive too slowly.
+
+use std::io;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::task::{Context, Poll, ready};
+
+use cranberrygap_link::clock;
+use cranberrygap_model::duration;
+use socket2::SockRef;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// Marks a time as absent: no head is arriving, or a request is in progress.
+const ABSENT: u64 = u64::MAX;
+
+/// Response to a request head that is not complete in time.
+const HEAD_TIMEOUT_RESPONSE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\n\
+    content-type: application/json\r\ncontent-length: 50\r\n\r\n\
+    {\"error\":{\"code\":\"head_slow\",\"outcome\":\"not_run\"}}";
+
+/// What a connection is busy with: a request in progress, an incomplete head, or nothing.
+///
+/// A caller that sends a byte now and then keeps its connection from ever being idle, and
+/// a few thousand of those take up all connections of an entry. The HTTP library reports
+/// only complete heads; this type also sees the bytes of an incomplete one.
+#[derive(Debug)]
+pub(super) struct Activity {
+    clock: clock::Clock,
+    /// Time at which the incomplete head began.
+    head_since: AtomicU64,
+    /// Time since which no request is in progress.
+    idle_since: AtomicU64,
+}
+
+impl Activity {
+    pub(super) fn new(clock: clock::Clock) -> Self {
+        Self {
+            clock,
+            head_since: AtomicU64::new(ABSENT),
+            idle_since: AtomicU64::new(clock.now().0),
+        }
+    }
+
+    /// Whether a head has been incomplete for longer than `timeout`.
+    pub(super) fn is_head_overdue(&self, timeout: duration::Span) -> bool {
+        self.has_lasted(&self.head_since, timeout)
+    }
+
+    /// Whether no request has been in progress for longer than `timeout`.
+    pub(super) fn is_idle(&self, timeout: duration::Span) -> bool {
+        self.has_lasted(&self.idle_since, timeout)
+    }
+
+    fn has_lasted(&self, since: &AtomicU64, timeout: duration::Span) -> bool {
+        let since = since.load(Ordering::Acquire);
+        since != ABSENT && self.clock.now().since(duration::Instant(since)) > timeout
+    }
+
+    fn record_bytes(&self) {
+        // Bytes that arrive during a request begin no head yet: its response is being
+        // written, and a 408 would end up in the middle of it.
+        if self.idle_since.load(Ordering::Acquire) == ABSENT {
+            return;
+        }
+        let now = self.clock.now().0;
+        // A head that has begun already keeps its time.
+        let _began =
+            self.head_since
+                .compare_exchange(ABSENT, now, Ordering::AcqRel, Ordering::Acquire);
+    }
+}
+
+/// A request in progress, from its complete head to the end of its response.
+#[derive(Debug)]
+pub(super) struct Guard {
+    activity: Arc<Activity>,
+}
+
+impl Guard {
+    pub(super) fn new(activity: Arc<Activity>) -> Self {
+        activity.idle_since.store(ABSENT, Ordering::Release);
+        activity.head_since.store(ABSENT, Ordering::Release);
+        Self { activity }
+    }
+}
+
+impl Drop for Guard {
+    fn drop(&mut self) {
+        let now = self.activity.clock.now();
+        self.activity.idle_since.store(now.0, Ordering::Release);
+    }
+}
+
+/// A caller's socket that records when bytes arrive.
+#[derive(Debug, Clone)]
+pub(super) struct Stream {
+    stream: Arc<TcpStream>,
+    activity: Arc<Activity>,
+}
+
+impl Stream {
+    pub(super) const fn new(stream: Arc<TcpStream>, activity: Arc<Activity>) -> Self {
+        Self { stream, activity }
+    }
+
+    /// Responds that the head did not arrive in time; the request did not run.
+    pub(super) fn send_head_timeout(&self) {
+        // Nothing else is being written between two requests, and a caller whose buffer is
+        // full reads no response anyway.
+        if let Err(cause) = self.stream.try_write(HEAD_TIMEOUT_RESPONSE) {
+            spdlog::debug!("gateway: a slow caller could not be told: {cause}");
+        }
+    }
+}
+
+impl AsyncRead for Stream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        loop {
+            ready!(self.stream.poll_read_ready(cx))?;
+            match self.stream.try_read(buf.initialize_unfilled()) {
+                Ok(count) => {
+                    buf.advance(count);
+                    if count > 0 {
+                        self.activity.record_bytes();
+                    }
+                    return Poll::Ready(Ok(()));
+                }
+                Err(cause) if cause.kind() == io::ErrorKind::WouldBlock => {}
+                Err(cause) => return Poll::Ready(Err(cause)),
+            }
+        }
+    }
+}
+
+impl AsyncWrite for Stream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        loop {
+            ready!(self.stream.poll_write_ready(cx))?;
+            match self.stream.try_write(buf) {
+                Err(cause) if cause.kind() == io::ErrorKind::WouldBlock => {}
+                other => return Poll::Ready(other),
+            }
+        }
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write))
+    }
+}
--- a/crates/cranberrygap-entry/src/gateway/delivery.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery.rs
@@ -1,7 +1,7 @@
-//! One request on its way to an endpoint, over all its sends.
+//! The delivery of one request to an endpoint, over all its attempts.
 
-mod aim;
 mod send;
+mod target;
 
 use std::sync::Arc;
 
@@ -15,56 +15,58 @@
 use crate::metric;
 
 use super::failure::{self, Failure};
-use super::request::{Facts, Resolved};
-use super::{Gateway, answer, dialect, endpoints, flight, line, story, stream};
-pub(super) use aim::Aim;
-use send::Sent;
+use super::request::{Request, Resolution};
+use super::{
+    Gateway, dialect, endpoint_connection, endpoints, in_flight, request_log, response, stream,
+};
+use send::Outcome;
+pub(super) use target::Target;
 
-/// Least time that must be left for a send to be an honest try.
-const LEAST_LEFT: duration::Span = duration::Span::from_millis(40);
+/// Least time that must be left for another attempt to be worthwhile.
+const MIN_TIME_LEFT: duration::Span = duration::Span::from_millis(40);
 
-/// Time beyond its deadline for which an answer is awaited, and a stream passed on. An
-/// endpoint that stops at the deadline says so a moment later, and what is ready is
-/// still delivered.
-pub(super) const GRACE: duration::Span = duration::Span::from_millis(120);
+/// Time beyond the deadline for which a response is awaited and a stream forwarded. An
+/// endpoint that stops at the deadline says so a moment later, and what is ready is still
+/// delivered.
+pub(super) const DEADLINE_GRACE: duration::Span = duration::Span::from_millis(120);
 
-/// Connections that may fail to open before the request is given up.
-const MOST_OPENS: u32 = 3;
+/// Failed connection attempts after which a request is given up.
+const MAX_CONNECT_FAILURES: u32 = 3;
 
-/// Time that callers are told when an endpoint had no room.
-const FULL_WAIT: duration::Span = duration::Span::from_millis(500);
+/// Retry delay that callers are given when no endpoint has capacity.
+const NO_CAPACITY_RETRY_AFTER: duration::Span = duration::Span::from_millis(500);
 
-/// One request and what it has been through.
+/// A request and the state of its delivery.
 #[derive(Debug)]
 pub(crate) struct Delivery {
     pub(super) gateway: Arc<Gateway>,
-    pub(super) facts: Facts,
-    pub(super) resolved: Resolved,
+    pub(super) request: Request,
+    pub(super) resolution: Resolution,
     permit: Option<admission::Permit>,
-    pub(super) story: story::Story,
+    pub(super) log: request_log::Log,
     tried: endpoints::Tried,
-    sends: u32,
-    opens: u32,
+    attempts: u32,
+    connect_failures: u32,
     /// Tells the leader that the request's adapter is in use.
-    adapter: Option<control::Use>,
+    adapter_use: Option<control::Use>,
 }
 
-/// The head of an answer and what its body comes over.
-pub(super) struct Answered {
+/// The head of an endpoint's response and the connection that its body arrives over.
+pub(super) struct Reply {
     pub(super) response: Response<Incoming>,
-    pub(super) line: line::Line,
-    pub(super) flight: flight::Flight,
+    pub(super) connection: endpoint_connection::Connection,
+    pub(super) in_flight: in_flight::Request,
 }
 
-/// How a request has ended before a stream began.
-enum Ended {
-    /// With a whole answer.
-    Whole(Box<Response<answer::Body>>),
-    /// With a failure of its own.
+/// How a request ended before a stream began.
+enum Completion {
+    /// With a complete response.
+    Responded(Box<Response<response::Body>>),
+    /// With a failure of the gateway.
     Failed(Failure),
 }
 
-impl From<Failure> for Ended {
+impl From<Failure> for Completion {
     fn from(failure: Failure) -> Self {
         Self::Failed(failure)
     }
@@ -73,21 +75,21 @@
 impl Delivery {
     pub(super) fn new(
         gateway: &Arc<Gateway>,
-        facts: Facts,
-        resolved: Resolved,
+        request: Request,
+        resolution: Resolution,
         permit: Option<admission::Permit>,
-        story: story::Story,
+        log: request_log::Log,
     ) -> Self {
         Self {
             gateway: Arc::clone(gateway),
-            facts,
-            resolved,
+            request,
+            resolution,
             permit,
-            story,
+            log,
             tried: endpoints::Tried::new(),
-            sends: 0,
-            opens: 0,
-            adapter: None,
+            attempts: 0,
+            connect_failures: 0,
+            adapter_use: None,
         }
     }
 
@@ -96,14 +98,14 @@
     }
 
     pub(super) fn deadline(&self) -> duration::Instant {
-        self.facts.deadline(&self.resolved.route)
+        self.request.deadline(&self.resolution.route)
     }
 
     const fn kind(&self) -> traffic::Kind {
-        self.resolved.route.kind
+        self.resolution.route.kind
     }
 
-    /// Whether a further run of the request does no harm.
+    /// Whether running the request again does no harm.
     pub(super) const fn is_repeatable(&self) -> bool {
         matches!(
             self.kind(),
@@ -118,91 +120,98 @@
         )
     }
 
-    /// Sends until an answer is there or nothing more may be tried; what does not come
-    /// to an answer gives its story back.
-    pub(super) async fn run(mut self) -> Result<Response<answer::Body>, (story::Story, Failure)> {
-        let counted = self.count_demand();
-        match self.attempts().await {
-            Ok(Answered {
+    /// Sends the request until it has a response or no attempt is left.
+    ///
+    /// A failure returns the request's log.
+    pub(super) async fn run(
+        mut self,
+    ) -> Result<Response<response::Body>, (request_log::Log, Failure)> {
+        let counted_demand = self.count_demand();
+        match self.send_until_response().await {
+            Ok(Reply {
                 response,
-                line,
-                flight,
+                connection,
+                in_flight,
             }) => {
                 let (head, body) = response.into_parts();
                 let mut response = Response::new(());
                 *response.status_mut() = head.status;
-                *response.headers_mut() = send::passed(head.headers);
-                Ok(stream::relay(self, response, body, line, flight))
+                *response.headers_mut() = send::forwarded_headers(head.headers);
+                Ok(stream::relay(self, response, body, connection, in_flight))
             }
-            Err(Ended::Whole(response)) => {
+            Err(Completion::Responded(response)) => {
                 let now = self.now();
-                let waited = now.since(self.facts.arrived);
-                let late = (waited > self.resolved.route.objective).then_some("the answer");
-                self.story.ended(&self.gateway.volume, now, late);
+                let waited = now.since(self.request.arrived_at);
+                let late_cause = (waited > self.resolution.route.objective).then_some("the answer");
+                self.log
+                    .log_success(&self.gateway.log_limiter, now, late_cause);
                 Ok(*response)
             }
-            Err(Ended::Failed(failure)) => {
-                let refused =
+            Err(Completion::Failed(failure)) => {
+                let was_refused =
                     matches!(failure, Failure::NoEndpoint { .. } | Failure::NotRun { .. });
-                if let (Some((model, work)), true) = (counted, refused) {
+                if let (Some((model, work)), true) = (counted_demand, was_refused) {
                     self.gateway.core.demand.refused(&model, work);
                 }
-                Err((self.story, failure))
+                Err((self.log, failure))
             }
         }
     }
 
-    /// A stream that has begun, or how the request has ended.
-    async fn attempts(&mut self) -> Result<Answered, Ended> {
+    /// The response whose stream has begun, or how the request ended.
+    async fn send_until_response(&mut self) -> Result<Reply, Completion> {
         loop {
             let core = Arc::clone(&self.gateway.core);
-            let aim = tokio::select! {
+            let target = tokio::select! {
                 biased;
-                aim = self.aim() => aim?,
+                target = self.choose_target() => target?,
                 () = core.closes() => return Err(Failure::stopping().into()),
             };
-            let sent = self.send(&aim, None).await?;
-            self.note(&aim, &sent);
-            match sent {
-                Sent::Answered(answered) => {
-                    if let Some(answered) = self.answered(*answered).await? {
-                        return Ok(answered);
+            let outcome = self.send(&target, None).await?;
+            self.log_attempt(&target, &outcome);
+            match outcome {
+                Outcome::Response(reply) => {
+                    if let Some(reply) = self.handle_response(*reply).await? {
+                        return Ok(reply);
                     }
                 }
-                Sent::NotRun(cause) => self.not_run(&aim, cause)?,
-                Sent::Unreachable => {
-                    self.opens += 1;
-                    if self.opens >= MOST_OPENS {
-                        return Err(self.no_endpoint(FULL_WAIT, "unreachable").into());
+                Outcome::NotRun(cause) => self.handle_not_run(&target, cause)?,
+                Outcome::Unreachable => {
+                    self.connect_failures += 1;
+                    if self.connect_failures >= MAX_CONNECT_FAILURES {
+                        return Err(self
+                            .no_endpoint_failure(NO_CAPACITY_RETRY_AFTER, "unreachable")
+                            .into());
                     }
                 }
-                Sent::Unknown(cause) => {
-                    if !self.is_repeatable() || !self.may_repeat() {
-                        return Err(self.broken(cause).into());
+                Outcome::Unknown(cause) => {
+                    if !self.is_repeatable() || !self.try_take_resend() {
+                        return Err(self.failure_after_send(cause).into());
                     }
                 }
             }
         }
     }
 
-    /// A stream to pass on, `None` to try again, or how the request has ended.
-    async fn answered(&mut self, answered: Answered) -> Result<Option<Answered>, Ended> {
-        let status = answered.response.status();
-        answered.flight.judge(!status.is_server_error());
-        if status.is_server_error() && self.is_repeatable() && self.may_repeat() {
-            self.discard(answered.response.into_body(), answered.line)
+    /// A response whose stream can be forwarded, `None` to try again, or how the request
+    /// ended.
+    async fn handle_response(&mut self, reply: Reply) -> Result<Option<Reply>, Completion> {
+        let status = reply.response.status();
+        reply.in_flight.record_outcome(!status.is_server_error());
+        if status.is_server_error() && self.is_repeatable() && self.try_take_resend() {
+            self.discard_body(reply.response.into_body(), reply.connection)
                 .await;
             return Ok(None);
         }
         if self.is_stream() && status.is_success() {
-            return Ok(Some(answered));
+            return Ok(Some(reply));
         }
-        match self.hold(answered).await {
-            Ok(response) => Err(Ended::Whole(Box::new(response))),
+        match self.buffer_response(reply).await {
+            Ok(response) => Err(Completion::Responded(Box::new(response))),
             Err(cause) => {
                 let now = self.now();
-                self.story.step(now, format_args!("{cause}"));
-                if self.is_repeatable() && self.may_repeat() {
+                self.log.add_step(now, format_args!("{cause}"));
+                if self.is_repeatable() && self.try_take_resend() {
                     return Ok(None);
                 }
                 Err(Failure::Broken(cause).into())
@@ -210,105 +219,109 @@
         }
     }
 
-    /// Notes for the log what came of a send.
-    fn note(&mut self, aim: &Aim, sent: &Sent) {
+    /// Logs and counts the result of an attempt.
+    fn log_attempt(&mut self, target: &Target, outcome: &Outcome) {
         let now = self.now();
-        let endpoint = &aim.place.endpoint;
-        match sent {
-            Sent::Answered(answered) => {
-                let status = answered.response.status().as_u16();
-                self.story
-                    .step(now, format_args!("{endpoint} answers {status}"));
+        let endpoint = &target.destination.endpoint;
+        match outcome {
+            Outcome::Response(reply) => {
+                let status = reply.response.status().as_u16();
+                self.log
+                    .add_step(now, format_args!("{endpoint} answers {status}"));
                 self.gateway.core.count(metric::GATEWAY_SENDS, "answered");
             }
-            Sent::NotRun(cause) => {
-                self.story
-                    .step(now, format_args!("{endpoint} did not run it: {cause:?}"));
+            Outcome::NotRun(cause) => {
+                self.log
+                    .add_step(now, format_args!("{endpoint} did not run it: {cause:?}"));
                 self.gateway.core.count(metric::GATEWAY_SENDS, "not_run");
             }
-            Sent::Unreachable => {
-                self.story
-                    .step(now, format_args!("{endpoint} cannot be reached"));
+            Outcome::Unreachable => {
+                self.log
+                    .add_step(now, format_args!("{endpoint} cannot be reached"));
                 self.gateway
                     .core
                     .count(metric::GATEWAY_SENDS, "unreachable");
             }
-            Sent::Unknown(cause) => {
-                self.story.step(now, format_args!("{endpoint}: {cause}"));
+            Outcome::Unknown(cause) => {
+                self.log.add_step(now, format_args!("{endpoint}: {cause}"));
                 self.gateway.core.count(metric::GATEWAY_SENDS, "unknown");
             }
         }
     }
 
-    /// What is known once a send had no answer.
-    fn broken(&self, cause: &'static str) -> Failure {
+    /// The failure of a request that was sent and got no response.
+    fn failure_after_send(&self, cause: &'static str) -> Failure {
         if self.now() >= self.deadline() {
-            return Failure::TimeOut;
+            return Failure::DeadlineExceeded;
         }
         Failure::Broken(cause)
     }
 
-    /// Whether the request may go to a further endpoint; spends what it costs.
-    fn may_repeat(&mut self) -> bool {
-        let left = self.deadline().since(self.now());
-        self.sends < self.resolved.route.attempts
-            && left > LEAST_LEFT
-            && self.gateway.reserve.lock().spend(&self.resolved.service)
+    /// Takes one resend from the budget; true if the request may be sent again.
+    fn try_take_resend(&mut self) -> bool {
+        let time_left = self.deadline().since(self.now());
+        self.attempts < self.resolution.route.attempts
+            && time_left > MIN_TIME_LEFT
+            && self
+                .gateway
+                .resend_budget
+                .lock()
+                .spend(&self.resolution.service)
     }
 
-    fn not_run(&mut self, aim: &Aim, cause: dialect::NotRun) -> Result<(), Failure> {
+    fn handle_not_run(&mut self, target: &Target, cause: dialect::NotRun) -> Result<(), Failure> {
         if cause == dialect::NotRun::Misdirected {
-            self.lacking(aim);
+            self.handle_missing_model(target);
         }
-        if self.may_repeat() {
+        if self.try_take_resend() {
             return Ok(());
         }
-        let wait = failure::spread(FULL_WAIT);
-        Err(Failure::NotRun { wait })
+        let retry_after = failure::jittered(NO_CAPACITY_RETRY_AFTER);
+        Err(Failure::NotRun { retry_after })
     }
 
-    fn no_endpoint(&self, wait: duration::Span, cause: &'static str) -> Failure {
-        let wait = failure::spread(wait);
-        if self.sends == 0 {
-            return Failure::NoEndpoint { wait, cause };
+    fn no_endpoint_failure(&self, retry_after: duration::Span, cause: &'static str) -> Failure {
+        let retry_after = failure::jittered(retry_after);
+        if self.attempts == 0 {
+            return Failure::NoEndpoint { retry_after, cause };
         }
-        Failure::NotRun { wait }
+        Failure::NotRun { retry_after }
     }
 
-    /// Tells the leader that the request's model is wanted.
+    /// Counts the demand for the request's model, which the leader is told.
     fn count_demand(&mut self) -> Option<(id::Model, duration::Span)> {
-        let model = self.facts.ask.model.clone()?;
-        if !self.resolved.has_engine {
+        let model = self.request.metadata.model.clone()?;
+        if !self.resolution.has_engine {
             return None;
         }
-        let adapter = self.facts.ask.adapter.as_ref();
+        let adapter = self.request.metadata.adapter.as_ref();
         let core = &self.gateway.core;
-        self.adapter = adapter.and_then(|adapter| control::Use::new(core, &model, adapter));
-        let tokens = self.facts.ask.tokens.unwrap_or_default();
-        let pace = core.endpoints.pace(&self.resolved.service, &model);
-        let work = pace.work(tokens.prompt, tokens.output, self.resolved.slots);
+        self.adapter_use = adapter.and_then(|adapter| control::Use::new(core, &model, adapter));
+        let tokens = self.request.metadata.tokens.unwrap_or_default();
+        let latency = core.endpoints.latency(&self.resolution.service, &model);
+        let work = latency.work(tokens.prompt, tokens.output, self.resolution.slots);
         core.demand.asked(&model, adapter, work);
         Some((model, work))
     }
 
-    /// The first event of the stream goes out.
-    pub(super) fn note_first_event(&mut self) {
+    /// Records that the first event of the stream is forwarded.
+    pub(super) fn record_first_event(&mut self) {
         let core = &self.gateway.core;
         let now = core.now();
-        let waited = now.since(self.facts.arrived);
-        self.story
-            .step(now, format_args!("the first event goes out"));
+        let waited = now.since(self.request.arrived_at);
+        self.log
+            .add_step(now, format_args!("the first event goes out"));
         core.time(metric::GATEWAY_FIRST_EVENT, waited);
     }
 
-    /// Has another engine go on with a stream behind `last_event`.
-    pub(super) async fn resume(&mut self, last_event: Option<&str>) -> Option<Answered> {
-        if !self.is_repeatable() || !self.may_repeat() {
+    /// Continues the stream at another engine, after `last_event_id`.
+    pub(super) async fn resume_stream(&mut self, last_event_id: Option<&str>) -> Option<Reply> {
+        if !self.is_repeatable() || !self.try_take_resend() {
             return None;
         }
-        let aim = self.aim().await.ok()?;
-        match self.send(&aim, last_event).await.ok()? {
-            Sent::Answered(answered) if answered.response.status().is_success() => Some(*answered),
+        let target = self.choose_target().await.ok()?;
+        match self.send(&target, last_event_id).await.ok()? {
+            Outcome::Response(reply) if reply.response.status().is_success() => Some(*reply),
             _ => None,
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/delivery/send.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request, from the connection to the answer.
+//! One attempt of a request, from the connection to the response.
 
 use std::sync::Arc;
 
@@ -9,224 +9,245 @@
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::body::Incoming;
 
-use super::aim::Aim;
+use super::target::Target;
 use super::{
-    Answered, Delivery, FULL_WAIT, Failure, GRACE, LEAST_LEFT, answer, dialect, flight, line,
+    DEADLINE_GRACE, Delivery, Failure, MIN_TIME_LEFT, NO_CAPACITY_RETRY_AFTER, Reply, dialect,
+    endpoint_connection, in_flight, response,
 };
 use crate::gateway::request;
 
-/// Time that a request takes on its way to an endpoint and its answer back.
-const TRANSIT: duration::Span = duration::Span::from_millis(6);
+/// Network time of a request to an endpoint and of its response.
+const NETWORK_TIME: duration::Span = duration::Span::from_millis(6);
 
-/// Longest wait for the answer to a request that may be repeated elsewhere. Nearly
-/// all answers of the users' services come within half of it.
-const IMPATIENCE: duration::Span = duration::Span::from_millis(900);
+/// Longest wait for the response to a request that may be sent again elsewhere. Nearly all
+/// responses of the users' services arrive within half of it.
+const REPEATABLE_ATTEMPT_TIMEOUT: duration::Span = duration::Span::from_millis(900);
 
-/// Largest answer that is held until it is whole, in bytes.
-const LARGEST_HELD: usize = 1 << 20;
+/// Largest response that is buffered until it is complete, in bytes.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
 
-/// What came of one send.
-pub(super) enum Sent {
-    /// An answer's head, with what it came over.
-    Answered(Box<Answered>),
-    /// The endpoint did not run it.
+/// Result of one attempt.
+pub(super) enum Outcome {
+    /// The head of a response, and its connection.
+    Response(Box<Reply>),
+    /// The endpoint did not run the request.
     NotRun(dialect::NotRun),
-    /// No connection; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     Unreachable,
-    /// It was sent, and no answer came.
+    /// The request was sent, and no response arrived.
     Unknown(&'static str),
 }
 
-/// What came of using one connection.
+/// Result of sending over one connection.
 enum Exchange {
-    /// Nothing was written; tells whether the connection had been used before.
+    /// Nothing was written; `reused` tells whether the connection had been used before.
     NotSent {
         reused: bool,
     },
-    Done(Sent),
+    Done(Outcome),
 }
 
 impl Delivery {
-    /// One send, from the connection to the head of the answer.
+    /// Sends the request once and waits for the head of the response.
     pub(super) async fn send(
         &mut self,
-        aim: &Aim,
-        last_event: Option<&str>,
-    ) -> Result<Sent, Failure> {
-        let careful = !matches!(self.kind(), traffic::Kind::Idempotent);
-        let opened = self.gateway.pool.take(aim.place.address, careful).await;
-        let Ok(mut line) = opened else {
+        target: &Target,
+        last_event_id: Option<&str>,
+    ) -> Result<Outcome, Failure> {
+        let once_only = !matches!(self.kind(), traffic::Kind::Idempotent);
+        let opening = self
+            .gateway
+            .pool
+            .take(target.destination.address, once_only)
+            .await;
+        let Ok(mut connection) = opening else {
             let core = &self.gateway.core;
-            core.endpoints.unreachable(core.now(), &aim.place);
-            return Ok(Sent::Unreachable);
+            core.endpoints
+                .record_unreachable(core.now(), &target.destination);
+            return Ok(Outcome::Unreachable);
         };
         loop {
-            // Opening may have taken long. What is in force now decides whether it
-            // may still be sent.
+            // Connecting may have taken long. The view and plan in force now decide
+            // whether the request may still be sent.
             let view = request::serving_view(&self.gateway)?;
-            self.resolved = self.facts.resolve(&view)?;
+            self.resolution = self.request.resolve(&view)?;
             drop(view);
-            let left = self.deadline().since(self.now());
-            if left <= LEAST_LEFT {
-                return Err(self.no_endpoint(FULL_WAIT, "out of time"));
+            let time_left = self.deadline().since(self.now());
+            if time_left <= MIN_TIME_LEFT {
+                return Err(self.no_endpoint_failure(NO_CAPACITY_RETRY_AFTER, "out of time"));
             }
-            let request = self.request(aim, duration::Span(left.0 - TRANSIT.0), last_event)?;
-            match self.exchange(aim, line, request, left).await {
-                // The endpoint closed an idle connection; nothing of it arrived.
+            let request = self.build_request(
+                target,
+                duration::Span(time_left.0 - NETWORK_TIME.0),
+                last_event_id,
+            )?;
+            match self.exchange(target, connection, request, time_left).await {
+                // The endpoint closed an idle connection; nothing of the request arrived.
                 Exchange::NotSent { reused: true } => {
-                    match line::Line::open(aim.place.address).await {
-                        Ok(fresh) => line = fresh,
-                        Err(_refused) => return Ok(Sent::Unreachable),
+                    match endpoint_connection::Connection::open(target.destination.address).await {
+                        Ok(fresh) => connection = fresh,
+                        Err(_refused) => return Ok(Outcome::Unreachable),
                     }
                 }
-                Exchange::NotSent { reused: false } => return Ok(Sent::Unreachable),
-                Exchange::Done(sent) => return Ok(sent),
+                Exchange::NotSent { reused: false } => return Ok(Outcome::Unreachable),
+                Exchange::Done(outcome) => return Ok(outcome),
             }
         }
     }
 
     async fn exchange(
         &mut self,
-        aim: &Aim,
-        mut line: line::Line,
+        target: &Target,
+        mut connection: endpoint_connection::Connection,
         request: Request<Full<Bytes>>,
-        left: duration::Span,
+        time_left: duration::Span,
     ) -> Exchange {
         let core = Arc::clone(&self.gateway.core);
-        let chain = self.facts.ask.model.is_some().then_some(&self.facts.chain);
-        let rank = self.resolved.rank();
-        let flight = flight::Flight::new(&core, aim, rank, chain);
-        let mut patience = left.0 + GRACE.0;
-        if self.kind() == traffic::Kind::Idempotent && self.sends + 1 < self.resolved.route.attempts
+        let chain = self
+            .request
+            .metadata
+            .model
+            .is_some()
+            .then_some(&self.request.chain);
+        let rank = self.resolution.rank();
+        let in_flight = in_flight::Request::new(&core, target, rank, chain);
+        let mut timeout = time_left.0 + DEADLINE_GRACE.0;
+        if self.kind() == traffic::Kind::Idempotent
+            && self.attempts + 1 < self.resolution.route.attempts
         {
-            patience = patience.min(IMPATIENCE.0);
+            timeout = timeout.min(REPEATABLE_ATTEMPT_TIMEOUT.0);
         }
-        let patience = duration::Span(patience).to_std();
-        let reused = line.is_reused();
-        let answered = tokio::time::timeout(patience, line.send(request)).await;
-        if matches!(answered, Ok(Err(line::Lost::NotSent))) {
+        let timeout = duration::Span(timeout).to_std();
+        let reused = connection.is_reused();
+        let result = tokio::time::timeout(timeout, connection.send(request)).await;
+        if matches!(result, Ok(Err(endpoint_connection::Error::NotSent))) {
             return Exchange::NotSent { reused };
         }
-        self.sends += 1;
-        self.tried.push(aim.place.endpoint.clone());
-        let response = match answered {
+        self.attempts += 1;
+        self.tried.push(target.destination.endpoint.clone());
+        let response = match result {
             Ok(Ok(response)) => {
-                line.note_idle_time(response.headers());
+                connection.read_idle_timeout(response.headers());
                 response
             }
             Ok(Err(_lost)) => {
-                flight.judge(false);
-                self.use_permit();
-                return Exchange::Done(Sent::Unknown("the connection ended without an answer"));
+                in_flight.record_outcome(false);
+                self.mark_permit_used();
+                return Exchange::Done(Outcome::Unknown("the connection ended without an answer"));
             }
             Err(_elapsed) => {
-                flight.judge(false);
-                self.use_permit();
-                return Exchange::Done(Sent::Unknown("no answer in time"));
+                in_flight.record_outcome(false);
+                self.mark_permit_used();
+                return Exchange::Done(Outcome::Unknown("no answer in time"));
             }
         };
-        let id = self.facts.ask.id.as_deref();
-        let judged =
+        let id = self.request.metadata.id.as_deref();
+        let classification =
             self.gateway
                 .dialect
                 .classify_response(id, response.status(), response.headers());
-        Exchange::Done(match judged {
+        Exchange::Done(match classification {
             dialect::Classification::Answer => {
-                self.use_permit();
-                Sent::Answered(Box::new(Answered {
+                self.mark_permit_used();
+                Outcome::Response(Box::new(Reply {
                     response,
-                    line,
-                    flight,
+                    connection,
+                    in_flight,
                 }))
             }
             dialect::Classification::NotRun(cause) => {
-                flight.judge(cause != dialect::NotRun::Full);
-                drop(flight);
-                self.discard(response.into_body(), line).await;
-                Sent::NotRun(cause)
+                in_flight.record_outcome(cause != dialect::NotRun::Full);
+                drop(in_flight);
+                self.discard_body(response.into_body(), connection).await;
+                Outcome::NotRun(cause)
             }
             dialect::Classification::Foreign => {
-                flight.judge(false);
-                self.use_permit();
-                Sent::Unknown("an answer to another request came")
+                in_flight.record_outcome(false);
+                self.mark_permit_used();
+                Outcome::Unknown("an answer to another request came")
             }
         })
     }
 
-    fn use_permit(&mut self) {
+    fn mark_permit_used(&mut self) {
         if let Some(permit) = &mut self.permit {
             permit.mark_all_used();
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
-        aim: &Aim,
-        left: duration::Span,
-        last_event: Option<&str>,
+        target: &Target,
+        time_left: duration::Span,
+        last_event_id: Option<&str>,
     ) -> Result<Request<Full<Bytes>>, Failure> {
-        let mut headers = self.facts.headers.clone();
-        let payer = self.resolved.workspace.as_ref();
-        let told = dialect::Attempt {
-            endpoint: &aim.place.endpoint,
-            workspace: payer.map(|payer| &payer.name),
-            time_left: left,
-            priority: self.resolved.priority(),
-            last_event_id: last_event,
+        let mut headers = self.request.headers.clone();
+        let workspace = self.resolution.workspace.as_ref();
+        let attempt = dialect::Attempt {
+            endpoint: &target.destination.endpoint,
+            workspace: workspace.map(|workspace| &workspace.name),
+            time_left,
+            priority: self.resolution.priority(),
+            last_event_id,
         };
-        self.gateway.dialect.write_headers(&mut headers, &told);
-        let mut request = Request::new(Full::new(Bytes::clone(&self.facts.body)));
-        *request.method_mut() = self.facts.method.clone();
-        let uri = Uri::try_from(self.facts.target.as_str());
+        self.gateway.dialect.write_headers(&mut headers, &attempt);
+        let mut request = Request::new(Full::new(Bytes::clone(&self.request.body)));
+        *request.method_mut() = self.request.method.clone();
+        let uri = Uri::try_from(self.request.target.as_str());
         *request.uri_mut() = uri.map_err(|cause| Failure::Malformed(cause.to_string().into()))?;
         *request.headers_mut() = headers;
         Ok(request)
     }
 
-    /// Reads an answer to its end before a byte goes out, so that a cut one is a
-    /// failure and not a shorter answer.
-    pub(super) async fn hold(
+    /// Reads a response to its end before any of it is forwarded.
+    ///
+    /// A truncated response is then a failure rather than a shorter response.
+    pub(super) async fn buffer_response(
         &self,
-        answered: Answered,
-    ) -> Result<Response<answer::Body>, &'static str> {
-        let Answered {
+        reply: Reply,
+    ) -> Result<Response<response::Body>, &'static str> {
+        let Reply {
             response,
-            line,
-            mut flight,
-        } = answered;
+            connection,
+            mut in_flight,
+        } = reply;
         let (head, body) = response.into_parts();
-        let patience = duration::Span(self.deadline().since(self.now()).0 + GRACE.0);
-        let collecting = Limited::new(body, LARGEST_HELD).collect();
-        let collected = tokio::time::timeout(patience.to_std(), collecting).await;
+        let timeout = duration::Span(self.deadline().since(self.now()).0 + DEADLINE_GRACE.0);
+        let collecting = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES).collect();
+        let collected = tokio::time::timeout(timeout.to_std(), collecting).await;
         let whole = match collected {
             Ok(Ok(whole)) => whole.to_bytes(),
             Ok(Err(_broken)) => {
-                flight.judge(false);
+                in_flight.record_outcome(false);
                 return Err("the answer broke off");
             }
             Err(_elapsed) => return Err("the answer did not end in time"),
         };
-        flight.read();
-        self.gateway.pool.put(line);
-        let mut response = Response::new(answer::whole(whole));
+        in_flight.record_prefill();
+        self.gateway.pool.put(connection);
+        let mut response = Response::new(response::full_body(whole));
         *response.status_mut() = head.status;
-        *response.headers_mut() = passed(head.headers);
+        *response.headers_mut() = forwarded_headers(head.headers);
         Ok(response)
     }
 
-    /// Reads a small body that nobody wants, so that its connection can be kept.
-    pub(super) async fn discard(&self, body: Incoming, line: line::Line) {
-        const SMALL: usize = 16 << 10;
-        const AT_ONCE: std::time::Duration = std::time::Duration::from_millis(20);
-        let reading = Limited::new(body, SMALL).collect();
-        if let Ok(Ok(_whole)) = tokio::time::timeout(AT_ONCE, reading).await {
-            self.gateway.pool.put(line);
+    /// Reads a small body that nobody needs, so that its connection can be reused.
+    pub(super) async fn discard_body(
+        &self,
+        body: Incoming,
+        connection: endpoint_connection::Connection,
+    ) {
+        const MAX_DISCARDED_BYTES: usize = 16 << 10;
+        const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
+        let reading = Limited::new(body, MAX_DISCARDED_BYTES).collect();
+        if let Ok(Ok(_whole)) = tokio::time::timeout(DISCARD_TIMEOUT, reading).await {
+            self.gateway.pool.put(connection);
         }
     }
 }
 
-/// Headers of an endpoint's answer that the caller gets.
-pub(super) fn passed(mut headers: HeaderMap) -> HeaderMap {
-    answer::strip_hop_by_hop(&mut headers);
+/// Headers of an endpoint's response that are forwarded to the caller.
+pub(super) fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
+    response::strip_hop_by_hop(&mut headers);
     headers
 }
--- a/crates/cranberrygap-entry/src/gateway/dialect.rs
+++ b/crates/cranberrygap-entry/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers and endpoints word what the gateway has to know.
+//! Dialects: how requests and responses carry the facts that the gateway needs.
 
 use std::fmt;
 
@@ -8,90 +8,91 @@
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 
-/// Parts of a prompt that are kept without an allocation; callers send about three.
-const USUAL_PARTS: usize = 4;
+/// Prompt parts that are stored without an allocation; callers send about three.
+const INLINE_PROMPT_PARTS: usize = 4;
 
-/// The facts of a request, whatever headers they came in.
+/// Facts of a request, independent of the headers that carry them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Metadata {
-    /// Names the caller's attempt.
+    /// Id of the caller's attempt.
     pub id: Option<SmolStr>,
-    /// Time that the caller waits.
+    /// Time that the caller waits for a response.
     pub timeout: Option<duration::Span>,
-    /// The key that the caller shows. It is never passed on or logged.
+    /// Key of the caller. It is never forwarded or logged.
     pub key: Option<SmolStr>,
-    /// The model, if one is wanted.
+    /// Model that the request needs, if any.
     pub model: Option<id::Model>,
-    /// Its adapter, if one is wanted.
+    /// Adapter of the model that the request needs, if any.
     pub adapter: Option<SmolStr>,
-    /// Prompt tokens and most generated tokens, where the caller counts them.
+    /// Prompt tokens and most generated tokens, if the caller states them.
     pub tokens: Option<Tokens>,
-    /// Parts of the prompt in order.
-    pub prompt_parts: SmallVec<[memory::Part; USUAL_PARTS]>,
-    /// Last event that the caller has of a stream that broke off.
+    /// Parts of the prompt, in order.
+    pub prompt_parts: SmallVec<[memory::Part; INLINE_PROMPT_PARTS]>,
+    /// Last event that the caller received of an interrupted stream.
     pub last_event_id: Option<SmolStr>,
 }
 
-/// Tokens of a request.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// In its prompt.
+    /// Tokens in the prompt.
     pub prompt: u64,
-    /// Generated at most.
+    /// Most tokens to generate.
     pub output: u64,
 }
 
-/// What an endpoint is told beside what the caller sent.
+/// Facts that an endpoint is told in addition to the caller's headers.
 #[derive(Debug)]
 pub struct Attempt<'request> {
-    /// The only endpoint that shall run it.
+    /// The only endpoint that may run the request.
     pub endpoint: &'request id::Endpoint,
-    /// For whom it runs; none on routes without workspaces.
+    /// Workspace that the request runs for; `None` on routes without workspaces.
     pub workspace: Option<&'request id::Workspace>,
-    /// Time that is left.
+    /// Time left until the request's deadline.
     pub time_left: duration::Span,
-    /// Rank, 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u32,
-    /// Event after which the stream goes on, if another one has begun it.
+    /// Event after which the stream continues, if another endpoint began it.
     pub last_event_id: Option<&'request str>,
 }
 
-/// What the head of an endpoint's answer says.
+/// What the head of an endpoint's response means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Classification {
-    /// The answer to this request.
+    /// The response to this request.
     Answer,
-    /// It did not run the request and will not.
+    /// The endpoint did not run the request and will not run it.
     NotRun(NotRun),
-    /// An answer to another request, or none of the endpoint's making.
+    /// A response to another request, or one that the endpoint did not create.
     Foreign,
 }
 
 /// Why an endpoint did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
-    /// It has no room now.
+    /// It has no capacity now.
     Full,
-    /// Another process listens there, or it does not hold the model or adapter.
+    /// Another process listens at the address, or it does not hold the model or adapter.
     Misdirected,
-    /// It takes the request for wrong.
+    /// It considers the request invalid.
     Wrong,
 }
 
-/// A form of requests.
+/// A convention of headers between callers, gateway and endpoints.
 pub trait Dialect: fmt::Debug + Send + Sync {
     /// Reads the facts of a request.
     ///
     /// # Errors
     ///
-    /// A sentence about a header that cannot be understood.
+    /// A sentence about a header that cannot be parsed.
     fn read_headers(&self, headers: &HeaderMap) -> Result<Metadata, SmolStr>;
 
-    /// Makes the headers for an endpoint from those of the caller: takes out what
-    /// is not for it and writes what it is told.
+    /// Turns the caller's headers into those for an endpoint.
+    ///
+    /// Removes the headers that the endpoint must not get and sets those of `attempt`.
     fn write_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
-    /// Judges the head of an answer to the request named `id`.
+    /// Classifies the head of a response to the request named `id`.
     fn classify_response(
         &self,
         id: Option<&str>,
--- /dev/null
+++ b/crates/cranberrygap-entry/src/gateway/endpoint_connection.rs
@@ -0,0 +1,144 @@
+//! One connection to an endpoint, owned by the attempt that uses it.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use cranberrygap_model::address;
+use http::{HeaderMap, Request, Response};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::time;
+
+/// Longest wait for a connection. Endpoints are a few milliseconds away; one that does not
+/// accept by then is cut off or has too many callers.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Time without acknowledgement after which the kernel closes a connection. No error
+/// arrives when the network is cut.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+
+/// Time without traffic after which the kernel probes the other end.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
+
+/// An open connection. Dropping it closes it at once, so that the endpoint stops work for
+/// a caller that has left.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    sender: http1::SendRequest<Full<Bytes>>,
+    driver: tokio::task::JoinHandle<()>,
+    address: address::Socket,
+    is_reused: bool,
+    idle_timeout: Option<Duration>,
+}
+
+/// Why a request got no response over a connection.
+#[derive(Debug)]
+pub(crate) enum Error {
+    /// Nothing of the request was written.
+    NotSent,
+    /// The request was written, at least in part.
+    Unknown,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.driver.abort();
+    }
+}
+
+impl Connection {
+    /// Opens a connection.
+    pub(crate) async fn open(address: address::Socket) -> std::io::Result<Self> {
+        let connecting = TcpStream::connect(address.0);
+        let stream = time::timeout(CONNECT_TIMEOUT, connecting).await;
+        let stream = stream.map_err(|_elapsed| std::io::ErrorKind::TimedOut)??;
+        configure_socket(&stream)?;
+        let io = TokioIo::new(stream);
+        let handshake = http1::handshake::<_, Full<Bytes>>(io).await;
+        let (sender, connection) = handshake.map_err(std::io::Error::other)?;
+        let driver = tokio::spawn(async move {
+            if let Err(cause) = connection.await {
+                spdlog::debug!("gateway: a connection to {address} ended: {cause}");
+            }
+        });
+        Ok(Self {
+            sender,
+            driver,
+            address,
+            is_reused: false,
+            idle_timeout: None,
+        })
+    }
+
+    /// Sends a request and waits for the head of its response.
+    pub(crate) async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, Error> {
+        if self.sender.ready().await.is_err() {
+            return Err(Error::NotSent);
+        }
+        match self.sender.try_send_request(request).await {
+            Ok(response) => Ok(response),
+            Err(mut failed) => match failed.take_message() {
+                Some(_unsent) => Err(Error::NotSent),
+                None => Err(Error::Unknown),
+            },
+        }
+    }
+
+    /// Reads how long the endpoint keeps the connection open without a request.
+    pub(crate) fn read_idle_timeout(&mut self, headers: &HeaderMap) {
+        let value = headers.get("keep-alive");
+        let value = value.and_then(|value| value.to_str().ok());
+        let timeout = value.and_then(|text| {
+            let mut items = text.split(',');
+            items.find_map(|item| item.trim().strip_prefix("timeout="))
+        });
+        let seconds = timeout.and_then(|seconds| seconds.trim().parse().ok());
+        self.idle_timeout = seconds.map(Duration::from_secs);
+    }
+
+    /// Time that the connection may wait for its next request. It is well below the
+    /// endpoint's own timeout: a request that is sent while the endpoint closes the
+    /// connection is lost.
+    pub(crate) fn max_idle_time(&self) -> Duration {
+        const MARGIN: Duration = Duration::from_secs(1);
+        let timeout = self.idle_timeout.unwrap_or(Duration::MAX);
+        timeout.saturating_sub(MARGIN).max(timeout / 2)
+    }
+
+    /// Whether another request can be sent.
+    pub(crate) fn is_usable(&self) -> bool {
+        !self.sender.is_closed() && !self.driver.is_finished()
+    }
+
+    /// Whether a request was sent before.
+    pub(crate) const fn is_reused(&self) -> bool {
+        self.is_reused
+    }
+
+    /// Marks the connection as used by an earlier request.
+    pub(crate) const fn mark_reused(&mut self) {
+        self.is_reused = true;
+    }
+
+    pub(crate) const fn address(&self) -> address::Socket {
+        self.address
+    }
+}
+
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
+    stream.set_nodelay(true)?;
+    let socket = socket2::SockRef::from(stream);
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
+}
--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -1,7 +1,7 @@
-//! What this entry knows of the endpoints of each service, and its choice.
+//! State of the endpoints of each service, and the choice among them.
 
-mod node;
 mod notices;
+mod state;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,33 +15,34 @@
 
 use crate::view;
 
-use node::Node;
 pub(crate) use notices::Notice;
+use state::State;
 
-/// Endpoints that a request was sent to.
+/// Endpoints that a request was already sent to.
 pub(crate) type Tried = SmallVec<[id::Endpoint; 3]>;
 
-/// What an engine in another failure domain costs beyond a near one. What goes
-/// between domains is paid for, and takes a millisecond or two each way.
-const FAR: duration::Span = duration::Span::from_millis(200);
+/// Cost of an engine in another failure domain compared to a near one, as waiting time.
+/// Traffic between domains is paid for, and takes a millisecond or two each way.
+const REMOTE_PENALTY: duration::Span = duration::Span::from_millis(200);
 
-/// What an adapter that has to be fetched costs: the leader is asked, orders it, and
-/// it takes about ten milliseconds to come.
-const FETCH: duration::Span = duration::Span::from_millis(60);
+/// Cost of an adapter that has to be loaded, as waiting time. The leader is asked and
+/// orders the load, which takes about ten milliseconds.
+const ADAPTER_PENALTY: duration::Span = duration::Span::from_millis(60);
 
-/// What a far endpoint of a plain service costs beyond a near one, in running requests.
-const FAR_REQUESTS: u32 = 5;
+/// Cost of an endpoint of a plain service in another failure domain, in running requests.
+const REMOTE_PENALTY_REQUESTS: u32 = 5;
 
-/// What an endpoint of a plain service costs that fails all it gets, in running
-/// requests. An endpoint of which one answer is known, and that a failure, counts as
-/// failing a quarter; it must cost more than a far one, since what it fails may not be
-/// repeated.
-const FAILING_REQUESTS: f64 = 30.0;
+/// Cost of an endpoint of a plain service that fails every request, in running requests.
+///
+/// An endpoint whose only known response is a failure counts as failing a quarter. It must
+/// cost more than an endpoint in another failure domain, since a request that it fails may
+/// not be sent again.
+const FAILURE_PENALTY_REQUESTS: f64 = 30.0;
 
-/// Age at which what another entry said of its sends is not used any more.
-const STALE: duration::Span = duration::Span::from_millis(1_200);
+/// Age at which the backlog that another entry announced is no longer used.
+const MAX_BACKLOG_AGE: duration::Span = duration::Span::from_millis(1_200);
 
-/// A request that wants an engine.
+/// A request that needs an engine.
 #[derive(Debug)]
 pub(crate) struct Query<'request> {
     pub service: &'request id::Service,
@@ -49,54 +50,54 @@
     pub adapter: Option<&'request SmolStr>,
     pub chain: &'request memory::Chain,
     pub rank: usize,
-    pub prompt: u64,
-    /// Reading that an engine may get within the last moments.
-    pub room: duration::Span,
-    /// Reading beside which a large prompt may go though it does not fit.
-    pub grace: duration::Span,
-    pub pace: pace::Pace,
+    pub prompt_tokens: u64,
+    /// Prefill time that an engine may get within the last moments.
+    pub prefill_budget: duration::Span,
+    /// Prefill time beside which a large prompt may go although it does not fit.
+    pub large_prompt_grace: duration::Span,
+    pub latency: pace::Pace,
     pub slots: u32,
     pub tried: &'request Tried,
-    /// Whether only engines count that hold the adapter.
-    pub only_ready: bool,
+    /// Whether only engines that hold the adapter are considered.
+    pub only_with_adapter: bool,
 }
 
-/// An endpoint that was chosen.
+/// The endpoint that a request is sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Destination {
     pub endpoint: id::Endpoint,
     pub address: address::Socket,
     pub boot: number::Boot,
 }
 
-/// An engine that was chosen.
+/// The engine chosen for a request, with the estimates behind the choice.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Seat {
-    pub place: Place,
+pub(crate) struct Choice {
+    pub destination: Destination,
     /// Predicted time to the first event.
-    pub first_event: duration::Span,
-    /// Prompt tokens that it has to read.
-    pub fresh: u64,
-    /// Time that it takes to read these.
-    pub reading: duration::Span,
-    /// Reading that waits there already.
-    pub backlog: duration::Span,
-    /// What of it comes before this prompt.
-    pub before: duration::Span,
+    pub time_to_first_event: duration::Span,
+    /// Prompt tokens that the engine has to read.
+    pub uncached_tokens: u64,
+    /// Time that the engine takes to read them.
+    pub prefill_time: duration::Span,
+    /// Prefill time of the prompts that wait there already.
+    pub queued_prefill: duration::Span,
+    /// Part of `queued_prefill` that comes before this prompt.
+    pub prefill_ahead: duration::Span,
     /// Requests that run or wait there.
     pub running: u32,
-    /// Whether it may get the prompt beside what was sent there lately.
-    pub fits: bool,
-    /// Whether it holds the adapter that is wanted, if one is.
-    pub ready: bool,
+    /// Whether the prompt fits beside those sent there recently.
+    pub fits_budget: bool,
+    /// Whether the engine holds the requested adapter, if there is one.
+    pub has_adapter: bool,
 }
 
-/// Endpoints by service, and what waits at each.
+/// Endpoints by service, with the backlog of each.
 #[derive(Debug)]
 pub(crate) struct Endpoints {
     domain: id::Domain,
     inner: Mutex<Inner>,
-    paces: Mutex<pace::Paces>,
+    latencies: Mutex<pace::Paces>,
     notices: notices::Outbox,
 }
 
@@ -104,17 +105,17 @@
 struct Inner {
     endpoints: Arc<BTreeMap<id::Endpoint, wire_view::Endpoint>>,
     residencies: Arc<BTreeMap<id::Endpoint, wire_view::Residency>>,
-    nodes: BTreeMap<id::Endpoint, Node>,
-    services: BTreeMap<id::Service, Vec<id::Endpoint>>,
-    others: BTreeMap<address::Socket, Heard>,
+    states: BTreeMap<id::Endpoint, State>,
+    by_service: BTreeMap<id::Service, Vec<id::Endpoint>>,
+    other_entries: BTreeMap<address::Socket, Announcement>,
 }
 
-/// What another entry said of its sends.
+/// The backlog that another entry announced.
 #[derive(Debug)]
-struct Heard {
-    at: duration::Instant,
+struct Announcement {
+    received_at: duration::Instant,
     sequence: u64,
-    tallies: BTreeMap<u32, tally::Tally>,
+    backlogs: BTreeMap<u32, tally::Tally>,
 }
 
 impl Endpoints {
@@ -122,12 +123,12 @@
         Self {
             domain,
             inner: Mutex::default(),
-            paces: Mutex::default(),
+            latencies: Mutex::default(),
             notices: notices::Outbox::default(),
         }
     }
 
-    /// Takes over the endpoints of a new view.
+    /// Applies the endpoints of a new view.
     pub(crate) fn apply_view(&self, now: duration::Instant, view: &view::Snapshot) {
         let mut inner = self.inner.lock();
         let same = Arc::ptr_eq(view.endpoints(), &inner.endpoints)
@@ -137,276 +138,313 @@
         }
         inner.endpoints = Arc::clone(view.endpoints());
         inner.residencies = Arc::clone(view.residencies());
-        inner.index(now, &self.domain);
+        inner.rebuild(now, &self.domain);
     }
 
     /// The engine with the earliest first event for a request.
-    pub(crate) fn seat(&self, now: duration::Instant, query: &Query<'_>) -> Option<Seat> {
+    pub(crate) fn choose_engine(
+        &self,
+        now: duration::Instant,
+        query: &Query<'_>,
+    ) -> Option<Choice> {
         let inner = self.inner.lock();
         let adapter = query
             .adapter
             .map(|adapter| format_smolstr!("{}/{adapter}", query.model));
-        let ready = |node: &Node| {
+        let has_adapter = |state: &State| {
             let adapter = adapter.as_ref();
-            adapter.is_none_or(|adapter| node.adapters.contains(adapter.as_str()))
+            adapter.is_none_or(|adapter| state.adapters.contains(adapter.as_str()))
         };
-        let usable: Vec<&Node> = inner
-            .untried(query.service, query.tried)
-            .filter(|node| node.holds(query.model))
-            .filter(|node| !query.only_ready || ready(node))
+        let usable: Vec<&State> = inner
+            .usable(query.service, query.tried)
+            .filter(|state| state.holds_model(query.model))
+            .filter(|state| !query.only_with_adapter || has_adapter(state))
             .collect();
-        let trusted = trusted(now, &usable);
-        let home = home(query, &trusted);
-        let candidates = trusted.iter().map(|node| engine::Candidate {
-            endpoint: &node.endpoint,
-            tally: inner.tally(now, node),
-            recent: node.window.reading(now),
-            kept: node.memory.kept(now, query.chain),
-            home: home == Some(&node.endpoint),
-            near: node.near,
-            ready: ready(node),
-            failing: node.failures.part(now),
+        let reachable_states = reachable(now, &usable);
+        let home = session_home(query, &reachable_states);
+        let candidates = reachable_states.iter().map(|state| engine::Candidate {
+            endpoint: &state.endpoint,
+            tally: inner.backlog(now, state),
+            recent: state.recent_prompts.reading(now),
+            kept: state.prefix_cache.kept(now, query.chain),
+            home: home == Some(&state.endpoint),
+            near: state.same_domain,
+            ready: has_adapter(state),
+            failing: state.failures.rate(now),
         });
-        let wanted = engine::Wanted {
+        let request = engine::Wanted {
             rank: query.rank,
-            prompt: query.prompt,
+            prompt: query.prompt_tokens,
             shared: query.chain.shared_tokens(),
-            room: query.room,
-            grace: query.grace,
-            pace: query.pace,
+            room: query.prefill_budget,
+            grace: query.large_prompt_grace,
+            pace: query.latency,
             slots: query.slots,
-            far: FAR,
-            fetch: FETCH,
+            far: REMOTE_PENALTY,
+            fetch: ADAPTER_PENALTY,
         };
-        let choice = engine::choose(&wanted, candidates)?;
-        let node = inner.nodes.get(&choice.endpoint)?;
-        Some(Seat {
-            ready: ready(node),
-            place: node.place(),
-            first_event: choice.first_event,
-            fresh: choice.fresh,
-            reading: choice.reading,
-            backlog: choice.backlog,
-            before: choice.before,
+        let choice = engine::choose(&request, candidates)?;
+        let state = inner.states.get(&choice.endpoint)?;
+        Some(Choice {
+            has_adapter: has_adapter(state),
+            destination: state.destination(),
+            time_to_first_event: choice.first_event,
+            uncached_tokens: choice.fresh,
+            prefill_time: choice.reading,
+            queued_prefill: choice.backlog,
+            prefill_ahead: choice.before,
             running: choice.running,
-            fits: choice.fits(&wanted),
+            fits_budget: choice.fits(&request),
         })
     }
 
-    /// What requests for a model take, as far as this entry saw.
-    pub(crate) fn pace(&self, service: &id::Service, model: &id::Model) -> pace::Pace {
-        self.paces.lock().of(service, model)
+    /// Latency of requests for a model, as this entry observed it.
+    pub(crate) fn latency(&self, service: &id::Service, model: &id::Model) -> pace::Pace {
+        self.latencies.lock().of(service, model)
     }
 
-    /// Learns from what came back.
-    pub(crate) fn learn(&self, work: impl FnOnce(&mut pace::Paces)) {
-        work(&mut self.paces.lock());
+    /// Adds observations to the latency estimates.
+    pub(crate) fn observe_latency(&self, observe: impl FnOnce(&mut pace::Paces)) {
+        observe(&mut self.latencies.lock());
     }
 
-    /// Where an engine is, if it still serves a model.
-    pub(crate) fn place(&self, endpoint: &id::Endpoint, model: &id::Model) -> Option<Place> {
+    /// Destination of an engine, if it still serves the model.
+    pub(crate) fn destination(
+        &self,
+        endpoint: &id::Endpoint,
+        model: &id::Model,
+    ) -> Option<Destination> {
         let inner = self.inner.lock();
-        let node = inner.nodes.get(endpoint)?;
-        (node.ready && node.holds(model)).then(|| node.place())
+        let state = inner.states.get(endpoint)?;
+        (state.ready && state.holds_model(model)).then(|| state.destination())
     }
 
     /// The endpoint of a plain service with the fewest requests of this entry.
-    pub(crate) fn plain(
+    pub(crate) fn choose_plain(
         &self,
         now: duration::Instant,
         service: &id::Service,
         tried: &Tried,
-    ) -> Option<Place> {
+    ) -> Option<Destination> {
         let inner = self.inner.lock();
-        let usable: Vec<&Node> = inner.untried(service, tried).collect();
-        let trusted = trusted(now, &usable);
-        let best = trusted.into_iter().min_by_key(|node| {
-            let running = inner.tally(now, node).running;
-            let far = u32::from(!node.near) * FAR_REQUESTS;
+        let usable: Vec<&State> = inner.usable(service, tried).collect();
+        let reachable_states = reachable(now, &usable);
+        let best = reachable_states.into_iter().min_by_key(|state| {
+            let running = inner.backlog(now, state).running;
+            let remote_penalty = u32::from(!state.same_domain) * REMOTE_PENALTY_REQUESTS;
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 reason = "a part of one, times a small number"
             )]
-            let failing = (node.failures.part(now) * FAILING_REQUESTS) as u32;
-            let mixed = memory::affinity(now.0, &node.endpoint);
-            (running + far + failing, mixed)
+            let failure_penalty = (state.failures.rate(now) * FAILURE_PENALTY_REQUESTS) as u32;
+            let tie_breaker = memory::affinity(now.0, &state.endpoint);
+            (running + remote_penalty + failure_penalty, tie_breaker)
         });
-        best.map(Node::place)
+        best.map(State::destination)
     }
 
-    /// Whether any endpoint of a service may get work.
-    pub(crate) fn serves(&self, service: &id::Service) -> bool {
+    /// Whether any endpoint of a service can get requests.
+    pub(crate) fn has_usable_endpoint(&self, service: &id::Service) -> bool {
         let inner = self.inner.lock();
-        inner.untried(service, &Tried::new()).next().is_some()
+        inner.usable(service, &Tried::new()).next().is_some()
     }
 
-    /// Counts a request as sent.
-    pub(crate) fn sent(
+    /// Records that a request was sent.
+    pub(crate) fn record_sent(
         &self,
         now: duration::Instant,
-        place: &Place,
+        destination: &Destination,
         rank: usize,
-        reading: u32,
+        prefill_micros: u32,
         chain: Option<&memory::Chain>,
     ) {
-        self.change(place, |node| {
-            node.own.sent(rank, reading);
+        self.update_state(destination, |state| {
+            state.own_backlog.sent(rank, prefill_micros);
             if let Some(chain) = chain {
-                node.memory.sent(now, chain);
+                state.prefix_cache.sent(now, chain);
             }
         });
     }
 
-    /// A prompt was read.
-    pub(crate) fn read(&self, place: &Place, rank: usize, reading: u32) {
-        self.change(place, |node| node.own.read(rank, reading));
+    /// Records that an engine has read a prompt.
+    pub(crate) fn record_prefill(
+        &self,
+        destination: &Destination,
+        rank: usize,
+        prefill_micros: u32,
+    ) {
+        self.update_state(destination, |state| {
+            state.own_backlog.read(rank, prefill_micros);
+        });
     }
 
-    /// A request has ended.
-    pub(crate) fn ended(&self, place: &Place) {
-        self.change(place, |node| node.own.ended());
+    /// Records that a request ended.
+    pub(crate) fn record_ended(&self, destination: &Destination) {
+        self.update_state(destination, |state| state.own_backlog.ended());
     }
 
-    /// Whether an endpoint answered a request as it should.
-    pub(crate) fn judged(&self, now: duration::Instant, place: &Place, good: bool) {
-        self.change(place, |node| node.failures.count(now, good));
+    /// Records whether an endpoint responded as it should.
+    pub(crate) fn record_outcome(
+        &self,
+        now: duration::Instant,
+        destination: &Destination,
+        success: bool,
+    ) {
+        self.update_state(destination, |state| state.failures.record(now, success));
     }
 
-    /// An endpoint could not be reached.
-    pub(crate) fn unreachable(&self, now: duration::Instant, place: &Place) {
-        self.change(place, |node| node.unreachable = Some(now));
+    /// Records that an endpoint could not be reached.
+    pub(crate) fn record_unreachable(&self, now: duration::Instant, destination: &Destination) {
+        self.update_state(destination, |state| state.unreachable_at = Some(now));
     }
 
-    /// An endpoint said that it lacks a model or adapter.
-    pub(crate) fn lacks(&self, place: &Place, model: &id::Model, adapter: Option<&SmolStr>) {
-        self.change(place, |node| match adapter {
+    /// Records that an endpoint does not hold a model or adapter.
+    pub(crate) fn record_missing(
+        &self,
+        destination: &Destination,
+        model: &id::Model,
+        adapter: Option<&SmolStr>,
+    ) {
+        self.update_state(destination, |state| match adapter {
             Some(adapter) => {
-                node.adapters
+                state
+                    .adapters
                     .remove(format_smolstr!("{model}/{adapter}").as_str());
             }
             None => {
-                node.models.remove(model.as_str());
+                state.models.remove(model.as_str());
             }
         });
     }
 
-    /// An adapter is ready at an engine.
-    pub(crate) fn has(&self, place: &Place, model: &id::Model, adapter: &SmolStr) {
-        self.change(place, |node| {
-            node.adapters.insert(format_smolstr!("{model}/{adapter}"));
+    /// Records that an engine holds an adapter.
+    pub(crate) fn record_adapter(
+        &self,
+        destination: &Destination,
+        model: &id::Model,
+        adapter: &SmolStr,
+    ) {
+        self.update_state(destination, |state| {
+            state.adapters.insert(format_smolstr!("{model}/{adapter}"));
         });
     }
 
-    fn change(&self, place: &Place, work: impl FnOnce(&mut Node)) {
+    fn update_state(&self, destination: &Destination, update: impl FnOnce(&mut State)) {
         let mut inner = self.inner.lock();
-        let node = inner.nodes.get_mut(&place.endpoint);
-        if let Some(node) = node.filter(|node| node.boot == place.boot) {
-            work(node);
+        let state = inner.states.get_mut(&destination.endpoint);
+        if let Some(state) = state.filter(|state| state.boot == destination.boot) {
+            update(state);
         }
     }
 
-    /// What this entry has sent, for the others.
-    pub(crate) fn own(&self) -> Vec<(u32, tally::Tally)> {
+    /// Backlog that this entry caused at each endpoint, for the other entries.
+    pub(crate) fn own_backlogs(&self) -> Vec<(u32, tally::Tally)> {
         let inner = self.inner.lock();
-        let nodes = inner.nodes.values();
-        let busy = nodes.filter(|node| !node.own.is_empty());
-        busy.map(|node| (node.digest, node.own)).collect()
+        let states = inner.states.values();
+        let busy = states.filter(|state| !state.own_backlog.is_empty());
+        busy.map(|state| (state.name_hash, state.own_backlog))
+            .collect()
     }
 
-    /// Takes what another entry has sent.
-    pub(crate) fn heard(
+    /// Applies the backlog that another entry announced.
+    pub(crate) fn apply_backlogs(
         &self,
         now: duration::Instant,
         from: address::Socket,
         sequence: u64,
-        tallies: Vec<(u32, tally::Tally)>,
+        backlogs: Vec<(u32, tally::Tally)>,
     ) {
         let mut inner = self.inner.lock();
-        let known = inner.others.get(&from);
-        // A datagram may overtake another; after a restart the count begins anew.
-        let old =
-            known.is_some_and(|known| sequence <= known.sequence && now.since(known.at) < STALE);
-        if old {
+        let previous = inner.other_entries.get(&from);
+        // Datagrams may arrive out of order, and the sequence starts anew when the entry
+        // restarts.
+        let is_old = previous.is_some_and(|previous| {
+            sequence <= previous.sequence && now.since(previous.received_at) < MAX_BACKLOG_AGE
+        });
+        if is_old {
             return;
         }
-        let tallies = tallies.into_iter().collect();
-        let heard = Heard {
-            at: now,
+        let backlogs = backlogs.into_iter().collect();
+        let announcement = Announcement {
+            received_at: now,
             sequence,
-            tallies,
+            backlogs,
         };
-        inner.others.insert(from, heard);
-        inner
-            .others
-            .retain(|_, heard| now.since(heard.at) < duration::Span::from_secs(10));
+        inner.other_entries.insert(from, announcement);
+        inner.other_entries.retain(|_, announcement| {
+            now.since(announcement.received_at) < duration::Span::from_secs(10)
+        });
     }
 
-    /// The endpoints for people.
+    /// State of all endpoints, for operators.
     pub(crate) fn dump(&self) -> serde_json::Value {
         let inner = self.inner.lock();
-        let shown = inner.nodes.iter().map(|(name, node)| {
-            let state = serde_json::json!({
-                "ready": node.ready, "models": node.models, "adapters": node.adapters,
-                "retiring": node.retiring, "unread": node.own.unread, "running": node.own.running,
+        let states = inner.states.iter().map(|(name, state)| {
+            let value = serde_json::json!({
+                "ready": state.ready, "models": state.models, "adapters": state.adapters,
+                "retiring": state.retiring, "unread": state.own_backlog.unread, "running": state.own_backlog.running,
             });
-            (name.to_string(), state)
+            (name.to_string(), value)
         });
-        shown.collect::<serde_json::Map<_, _>>().into()
+        states.collect::<serde_json::Map<_, _>>().into()
     }
 }
 
 impl Inner {
-    fn index(&mut self, now: duration::Instant, domain: &id::Domain) {
-        let mut before = std::mem::take(&mut self.nodes);
-        self.services.clear();
-        for (name, known) in self.endpoints.iter() {
-            let Some(service) = &known.announcement.service else {
+    fn rebuild(&mut self, now: duration::Instant, domain: &id::Domain) {
+        let mut previous_states = std::mem::take(&mut self.states);
+        self.by_service.clear();
+        for (name, endpoint) in self.endpoints.iter() {
+            let Some(service) = &endpoint.announcement.service else {
                 continue;
             };
-            let told = self.residencies.get(name);
-            let old = before.remove(name);
-            let node = Node::new(now, known, told, domain, old);
-            self.services
+            let residency = self.residencies.get(name);
+            let previous = previous_states.remove(name);
+            let state = State::new(now, endpoint, residency, domain, previous);
+            self.by_service
                 .entry(service.clone())
                 .or_default()
                 .push(name.clone());
-            self.nodes.insert(name.clone(), node);
+            self.states.insert(name.clone(), state);
         }
     }
 
-    /// Endpoints of a service that are ready; those that are only silent if no
-    /// other is.
-    fn untried(&self, service: &id::Service, tried: &Tried) -> impl Iterator<Item = &Node> {
-        let names = self.services.get(service).into_iter().flatten();
-        let nodes = names.filter_map(|name| self.nodes.get(name));
-        let open = nodes.filter(|node| !tried.contains(&node.endpoint));
-        let any_ready = open.clone().any(|node| node.ready);
-        open.filter(move |node| node.ready || (node.suspect && !any_ready))
+    /// Ready endpoints of a service that were not tried; suspect ones if none is ready.
+    fn usable(&self, service: &id::Service, tried: &Tried) -> impl Iterator<Item = &State> {
+        let names = self.by_service.get(service).into_iter().flatten();
+        let states = names.filter_map(|name| self.states.get(name));
+        let untried = states.filter(|state| !tried.contains(&state.endpoint));
+        let any_ready = untried.clone().any(|state| state.ready);
+        untried.filter(move |state| state.ready || (state.suspect && !any_ready))
     }
 
-    /// Own sends and those that other entries told of.
-    fn tally(&self, now: duration::Instant, node: &Node) -> tally::Tally {
-        let others = self.others.values();
-        let fresh = others.filter(|heard| now.since(heard.at) < STALE);
-        let told = fresh.filter_map(|heard| heard.tallies.get(&node.digest));
-        told.fold(node.own, tally::Tally::and)
+    /// Backlog of an endpoint, caused by this entry and the others.
+    fn backlog(&self, now: duration::Instant, state: &State) -> tally::Tally {
+        let others = self.other_entries.values();
+        let fresh =
+            others.filter(|announcement| now.since(announcement.received_at) < MAX_BACKLOG_AGE);
+        let theirs = fresh.filter_map(|announcement| announcement.backlogs.get(&state.name_hash));
+        theirs.fold(state.own_backlog, tally::Tally::and)
     }
 }
 
-/// Endpoints that could be reached of late, or all if none could.
-fn trusted<'nodes>(now: duration::Instant, nodes: &[&'nodes Node]) -> Vec<&'nodes Node> {
-    let reached = nodes.iter().filter(|node| node.is_reached(now));
-    let reached: Vec<&Node> = reached.copied().collect();
+/// Endpoints that can be reached as far as known, or all if there are none.
+fn reachable<'states>(now: duration::Instant, states: &[&'states State]) -> Vec<&'states State> {
+    let reached = states.iter().filter(|state| state.is_reachable(now));
+    let reached: Vec<&State> = reached.copied().collect();
     if reached.is_empty() {
-        return nodes.to_vec();
+        return states.to_vec();
     }
     reached
 }
 
-/// The engine to which a prompt's session belongs.
-fn home<'nodes>(query: &Query<'_>, nodes: &[&'nodes Node]) -> Option<&'nodes id::Endpoint> {
+/// The engine that the prompt's session has the highest affinity to.
+fn session_home<'states>(
+    query: &Query<'_>,
+    states: &[&'states State],
+) -> Option<&'states id::Endpoint> {
     let session = query.chain.session()?;
-    let names = nodes.iter().map(|node| &node.endpoint);
+    let names = states.iter().map(|state| &state.endpoint);
     names.max_by_key(|name| memory::affinity(session, name))
 }
--- a/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
@@ -1,80 +1,83 @@
-//! Sends that the other entries are told of at once.
+//! Notices about dispatched prompts, which other entries get at once.
 
 use cranberrygap_model::{address, duration};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use super::{Endpoints, Place};
+use super::{Destination, Endpoints};
 
-/// Prompts that take less than so many microseconds are not told at once: a twentieth of
-/// the pause that streams allow.
-const SMALLEST: u32 = 15_000;
+/// Least prefill time that causes a notice, in microseconds. It is a twentieth of the
+/// pause that streams allow.
+const MIN_NOTICE_PREFILL_MICROS: u32 = 15_000;
 
-/// One prompt that was sent to an engine.
+/// A prompt that was sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Notice {
-    /// Short name of the engine.
-    pub digest: u32,
+    /// Short hash of the engine's name.
+    #[serde(rename = "digest")]
+    pub name_hash: u32,
     /// Rank of the request.
     pub rank: u8,
-    /// Microseconds that the engine takes to read the prompt.
-    pub reading: u32,
+    /// Time that the engine takes to read the prompt, in microseconds.
+    #[serde(rename = "reading")]
+    pub prefill_micros: u32,
 }
 
 /// Notices that are not sent yet.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    waiting: Mutex<Vec<Notice>>,
-    news: Notify,
+    pending: Mutex<Vec<Notice>>,
+    added: Notify,
 }
 
 impl Endpoints {
-    /// Counts a prompt as sent to an engine from the moment at which that is decided.
+    /// Counts a prompt at an engine from the moment at which the engine is chosen.
     ///
-    /// Requests that wait for the same engine look again within milliseconds. Were it
-    /// counted only once its connection stands, several would go at the same moment.
-    pub(crate) fn claim(
+    /// Requests that wait for the same engine search again within milliseconds. If the
+    /// prompt counted only once its connection is open, several requests would go at the
+    /// same moment.
+    pub(crate) fn reserve_prefill(
         &self,
         now: duration::Instant,
-        place: &Place,
+        destination: &Destination,
         rank: usize,
-        reading: duration::Span,
+        prefill_time: duration::Span,
     ) {
-        let reading = u32::try_from(reading.0).unwrap_or(u32::MAX);
+        let prefill_micros = u32::try_from(prefill_time.0).unwrap_or(u32::MAX);
         let mut inner = self.inner.lock();
-        let Some(node) = inner.nodes.get_mut(&place.endpoint) else {
+        let Some(state) = inner.states.get_mut(&destination.endpoint) else {
             return;
         };
-        node.window.sent(now, reading);
-        let digest = node.digest;
+        state.recent_prompts.sent(now, prefill_micros);
+        let name_hash = state.name_hash;
         drop(inner);
-        if reading < SMALLEST {
+        if prefill_micros < MIN_NOTICE_PREFILL_MICROS {
             return;
         }
         let rank = u8::try_from(rank).unwrap_or(u8::MAX);
         let notice = Notice {
-            digest,
+            name_hash,
             rank,
-            reading,
+            prefill_micros,
         };
-        self.notices.waiting.lock().push(notice);
-        self.notices.news.notify_one();
+        self.notices.pending.lock().push(notice);
+        self.notices.added.notify_one();
     }
 
-    /// Waits for sends that the others should know of.
-    pub(crate) async fn notices(&self) -> Vec<Notice> {
+    /// Waits for notices to send to the other entries.
+    pub(crate) async fn next_notices(&self) -> Vec<Notice> {
         loop {
-            let waiting = std::mem::take(&mut *self.notices.waiting.lock());
-            if !waiting.is_empty() {
-                return waiting;
+            let pending = std::mem::take(&mut *self.notices.pending.lock());
+            if !pending.is_empty() {
+                return pending;
             }
-            self.notices.news.notified().await;
+            self.notices.added.notified().await;
         }
     }
 
-    /// Takes sends that another entry tells of.
-    pub(crate) fn noticed(
+    /// Applies notices of another entry.
+    pub(crate) fn apply_notices(
         &self,
         now: duration::Instant,
         from: address::Socket,
@@ -82,14 +85,14 @@
     ) {
         let mut inner = self.inner.lock();
         for notice in notices {
-            let mut nodes = inner.nodes.values_mut();
-            if let Some(node) = nodes.find(|node| node.digest == notice.digest) {
-                node.window.sent(now, notice.reading);
+            let mut states = inner.states.values_mut();
+            if let Some(state) = states.find(|state| state.name_hash == notice.name_hash) {
+                state.recent_prompts.sent(now, notice.prefill_micros);
             }
-            // Until it tells of all it has sent, which takes the place of this.
-            if let Some(heard) = inner.others.get_mut(&from) {
-                let tally = heard.tallies.entry(notice.digest).or_default();
-                tally.sent(usize::from(notice.rank), notice.reading);
+            // Counts until the other entry's next full backlog, which replaces it.
+            if let Some(announcement) = inner.other_entries.get_mut(&from) {
+                let backlog = announcement.backlogs.entry(notice.name_hash).or_default();
+                backlog.sent(usize::from(notice.rank), notice.prefill_micros);
             }
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/failure.rs
+++ b/crates/cranberrygap-entry/src/gateway/failure.rs
@@ -1,81 +1,82 @@
-//! Why a request of a route got no answer of an endpoint.
+//! Why a request of a route got no response from an endpoint.
 
 use cranberrygap_model::duration;
 use http::{HeaderValue, Response, StatusCode, header};
 use smol_str::SmolStr;
 
-use super::answer;
+use super::response;
 
-/// Shortest wait that callers are told, so that they do not come back together.
-const SHORTEST_WAIT: duration::Span = duration::Span::from_millis(200);
+/// Shortest retry delay that callers are given, so that they do not all come back at once.
+const MIN_RETRY_AFTER: duration::Span = duration::Span::from_millis(200);
 
-/// Parts of a wait between which callers are spread: most come back after the time that
-/// the wait expects, over a span that is more than half as long as the wait.
-const LEAST_FACTOR: f64 = 0.75;
-const MOST_FACTOR: f64 = 1.35;
+/// Bounds of the random factor for retry delays. Most callers come back after the expected
+/// delay, spread over a span that is more than half as long as the delay.
+const MIN_JITTER_FACTOR: f64 = 0.75;
+const MAX_JITTER_FACTOR: f64 = 1.35;
 
-/// A wait for callers, spread so that those refused together do not come together.
-pub(super) fn spread(wait: duration::Span) -> duration::Span {
-    let factor = LEAST_FACTOR + rand::random::<f64>() * (MOST_FACTOR - LEAST_FACTOR);
-    wait.scaled(factor)
+/// Adds jitter to a retry delay, so that callers refused together return apart.
+pub(super) fn jittered(delay: duration::Span) -> duration::Span {
+    let factor =
+        MIN_JITTER_FACTOR + rand::random::<f64>() * (MAX_JITTER_FACTOR - MIN_JITTER_FACTOR);
+    delay.scaled(factor)
 }
 
-/// One way in which a request fails here.
+/// Why a request failed in the gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Failure {
-    /// No plan is in force here, or the lease on it is out.
+    /// No plan is in force here, or its lease has expired.
     NoView {
-        /// Time after which one is expected.
-        wait: duration::Span,
+        /// Time until a plan is expected.
+        retry_after: duration::Span,
     },
-    /// No route of the plan fits.
+    /// No route of the plan matches.
     NoRoute,
-    /// The key is missing or does not work.
+    /// The key is missing or invalid.
     NoKey,
-    /// A header cannot be understood.
+    /// A header cannot be parsed.
     Malformed(SmolStr),
     /// The body is larger than the plan allows.
     TooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     SlowBody,
-    /// The body broke off; nobody is there to read the answer.
+    /// The body broke off; nobody is left to read the response.
     BrokenBody,
     /// The workspace is above its rate.
     OverRate {
-        /// Time after which it may fit.
-        wait: duration::Span,
+        /// Time after which the request may be admitted.
+        retry_after: duration::Span,
     },
-    /// No endpoint can serve it in time; it did not run.
+    /// No endpoint can serve the request in time; it did not run.
     NoEndpoint {
-        /// Time after which that may have changed.
-        wait: duration::Span,
-        /// Why, for the log.
+        /// Time after which an endpoint may be free.
+        retry_after: duration::Span,
+        /// Reason, for the log.
         cause: &'static str,
     },
-    /// An endpoint was asked and said that it did not run it.
+    /// An endpoint was asked and said that it did not run the request.
     NotRun {
-        /// Time after which another try makes sense.
-        wait: duration::Span,
+        /// Time after which a retry may succeed.
+        retry_after: duration::Span,
     },
-    /// An endpoint broke off; it may have run.
+    /// An endpoint broke off; the request may have run.
     Broken(&'static str),
-    /// The time was over while an endpoint was at work.
-    TimeOut,
+    /// The deadline passed while an endpoint was at work.
+    DeadlineExceeded,
 }
 
-/// Time after which a caller of an entry that stops should ask another one.
-const ELSEWHERE: duration::Span = duration::Span::from_millis(50);
+/// Time after which a caller of a stopping entry should ask another one.
+const STOPPING_RETRY_AFTER: duration::Span = duration::Span::from_millis(50);
 
 impl Failure {
     /// The entry stops before the request could be sent.
     pub(crate) fn stopping() -> Self {
         Self::NoEndpoint {
-            wait: spread(ELSEWHERE),
+            retry_after: jittered(STOPPING_RETRY_AFTER),
             cause: "the entry stops",
         }
     }
 
-    /// The stable word for logs, metrics and the answer.
+    /// Stable code for logs, metrics and the response.
     pub(crate) const fn code(&self) -> &'static str {
         match self {
             Self::NoView { .. } => "no_view",
@@ -89,11 +90,11 @@
             Self::NoEndpoint { .. } => "no_endpoint",
             Self::NotRun { .. } => "not_run",
             Self::Broken(_) => "endpoint_broke",
-            Self::TimeOut => "deadline_exceeded",
+            Self::DeadlineExceeded => "deadline_exceeded",
         }
     }
 
-    /// More about it for the log.
+    /// Further details for the log.
     pub(crate) fn cause(&self) -> &str {
         match self {
             Self::Malformed(cause) => cause,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The cause where it is one of a fixed set.
+    /// The cause, if it is one of a fixed set.
     pub(crate) const fn static_cause(&self) -> &'static str {
         match self {
             Self::NoEndpoint { cause, .. } | Self::Broken(cause) => cause,
@@ -121,34 +122,34 @@
             Self::SlowBody | Self::BrokenBody => StatusCode::REQUEST_TIMEOUT,
             Self::OverRate { .. } => StatusCode::TOO_MANY_REQUESTS,
             Self::Broken(_) => StatusCode::BAD_GATEWAY,
-            Self::TimeOut => StatusCode::GATEWAY_TIMEOUT,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    pub(crate) fn wait(&self) -> Option<duration::Span> {
+    pub(crate) fn retry_after(&self) -> Option<duration::Span> {
         match self {
-            Self::NoView { wait }
-            | Self::OverRate { wait }
-            | Self::NoEndpoint { wait, .. }
-            | Self::NotRun { wait } => Some((*wait).max(SHORTEST_WAIT)),
+            Self::NoView { retry_after }
+            | Self::OverRate { retry_after }
+            | Self::NoEndpoint { retry_after, .. }
+            | Self::NotRun { retry_after } => Some((*retry_after).max(MIN_RETRY_AFTER)),
             _ => None,
         }
     }
 
-    /// The answer to the caller.
-    pub(crate) fn answer(&self) -> Response<answer::Body> {
+    /// The response to the caller.
+    pub(crate) fn to_response(&self) -> Response<response::Body> {
         let outcome = match self {
-            Self::Broken(_) | Self::TimeOut => "unknown",
+            Self::Broken(_) | Self::DeadlineExceeded => "unknown",
             _ => "not_run",
         };
         let body = serde_json::json!({ "error": { "code": self.code(), "outcome": outcome } });
-        let mut response = Response::new(answer::whole(body.to_string()));
+        let mut response = Response::new(response::full_body(body.to_string()));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
-        if let Some(wait) = self.wait() {
-            let seconds = format!("{:.2}", wait.as_secs_f64());
+        if let Some(retry_after) = self.retry_after() {
+            let seconds = format!("{:.2}", retry_after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 headers.insert(header::RETRY_AFTER, value);
             }
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -1,8 +1,8 @@
-//! Entries tell each other what they have sent to the engines.
+//! Gossip between entries about the requests that they sent to engines.
 //!
-//! Without it each entry would take an engine for idle to which all others have
-//! just sent their prompts. A lost datagram costs a slightly worse choice, so
-//! nothing is repeated or acknowledged.
+//! Without it, each entry would consider an engine idle to which all others have just sent
+//! their prompts. A lost datagram costs a slightly worse choice, so nothing is repeated or
+//! acknowledged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,34 +17,37 @@
 
 use super::endpoints;
 
-/// Time between two messages. A prompt is read in about 70 ms; half that age on
-/// average is what keeps entries from choosing the same engine. Shorter would cost
-/// more bytes between failure domains than the better choice earns.
-const PERIOD: Duration = Duration::from_millis(150);
+/// Time between two messages. A prompt is read in about 70 ms; half that age on average is
+/// what keeps entries from choosing the same engine. A shorter interval would cost more
+/// traffic between failure domains than the better choice is worth.
+const SEND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Largest message, which one datagram carries without being cut.
-const LARGEST: usize = 1_400;
+/// Largest message; one datagram carries it without fragmentation.
+const MAX_MESSAGE_BYTES: usize = 1_400;
 
 /// Engines in one message; more would not fit.
-const MOST_ENGINES: usize = 90;
+const MAX_ENGINES_PER_MESSAGE: usize = 90;
 
-/// Other entries that are told of each prompt at once. Messages grow with the entries
-/// times this number rather than with the square of the entries.
-const MOST_TOLD: usize = 15;
+/// Other entries that are told of each prompt at once. Messages then grow with the number
+/// of entries times this limit, rather than with its square.
+const MAX_NOTICE_RECIPIENTS: usize = 15;
 
-/// What one entry tells another.
+/// A message between two entries.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
-    /// All that waits at engines because of it.
-    All {
+    /// The whole backlog that the entry caused at engines.
+    #[serde(rename = "All")]
+    Backlogs {
         sequence: u64,
-        tallies: Vec<(u32, tally::Tally)>,
+        #[serde(rename = "tallies")]
+        backlogs: Vec<(u32, tally::Tally)>,
     },
-    /// Prompts that it has just sent.
-    Sent(Vec<endpoints::Notice>),
+    /// Prompts that the entry has just sent.
+    #[serde(rename = "Sent")]
+    Prompts(Vec<endpoints::Notice>),
 }
 
-/// The task that tells and hears.
+/// The task that sends and receives gossip.
 #[derive(Debug)]
 pub(crate) struct Gossip {
     core: Arc<core::Core>,
@@ -53,11 +56,11 @@
 }
 
 impl Gossip {
-    /// Listens at `wanted`.
+    /// Binds a socket at `wanted`.
     ///
     /// # Errors
     ///
-    /// When the address cannot be listened on.
+    /// When the address cannot be bound.
     pub(crate) async fn new(
         core: Arc<core::Core>,
         wanted: address::Socket,
@@ -69,41 +72,42 @@
         })
     }
 
-    /// Tells and hears until the process stops.
+    /// Sends and receives gossip until the process stops.
     pub(crate) async fn run(self) {
-        let mut ticker = time::interval(PERIOD);
+        let mut ticker = time::interval(SEND_INTERVAL);
         ticker.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut sequence = 0;
-        let mut silent = false;
-        let mut buffer = [0; LARGEST];
+        let mut sent_empty = false;
+        let mut buffer = [0; MAX_MESSAGE_BYTES];
         loop {
             tokio::select! {
                 _ = ticker.tick() => {
                     sequence += 1;
-                    let mut tallies = self.core.endpoints.own();
-                    tallies.truncate(MOST_ENGINES);
-                    // Said once, that nothing is left counts for the next ones too.
-                    if tallies.is_empty() && silent {
+                    let mut backlogs = self.core.endpoints.own_backlogs();
+                    backlogs.truncate(MAX_ENGINES_PER_MESSAGE);
+                    // An empty backlog stays valid until the next change, so it is sent
+                    // only once.
+                    if backlogs.is_empty() && sent_empty {
                         continue;
                     }
-                    silent = tallies.is_empty();
-                    self.tell(&Message::All { sequence, tallies }, usize::MAX).await;
+                    sent_empty = backlogs.is_empty();
+                    self.send(&Message::Backlogs { sequence, backlogs }, usize::MAX).await;
                 }
-                mut notices = self.core.endpoints.notices() => {
-                    notices.truncate(MOST_ENGINES);
-                    self.tell(&Message::Sent(notices), MOST_TOLD).await;
+                mut notices = self.core.endpoints.next_notices() => {
+                    notices.truncate(MAX_ENGINES_PER_MESSAGE);
+                    self.send(&Message::Prompts(notices), MAX_NOTICE_RECIPIENTS).await;
                 }
                 received = self.socket.recv_from(&mut buffer) => {
                     let Ok((length, from)) = received else {
                         continue;
                     };
-                    self.hear(from, &buffer[..length]);
+                    self.handle_datagram(from, &buffer[..length]);
                 }
             }
         }
     }
 
-    async fn tell(&self, message: &Message, most: usize) {
+    async fn send(&self, message: &Message, max_recipients: usize) {
         let Ok(bytes) = postcard::to_stdvec(message) else {
             return;
         };
@@ -111,19 +115,20 @@
             return;
         };
         let mut others = view.others(self.core.instance());
-        // Each begins elsewhere, so that not all tell the same few.
-        let begin = usize::try_from(self.core.boot.0).unwrap_or_default();
-        let begin = begin.checked_rem(others.len()).unwrap_or_default();
-        others.rotate_left(begin);
-        for other in others.into_iter().take(most) {
+        // Each entry starts elsewhere in the list, so that not all of them tell the same
+        // few.
+        let first = usize::try_from(self.core.boot.0).unwrap_or_default();
+        let first = first.checked_rem(others.len()).unwrap_or_default();
+        others.rotate_left(first);
+        for other in others.into_iter().take(max_recipients) {
             let mut to = other.0;
             to.set_port(self.port);
-            // A datagram that is not sent is as good as a lost one.
+            // A datagram that cannot be sent counts as lost.
             drop(self.socket.send_to(&bytes, to).await);
         }
     }
 
-    fn hear(&self, from: std::net::SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&self, from: std::net::SocketAddr, bytes: &[u8]) {
         let Ok(message) = postcard::from_bytes::<Message>(bytes) else {
             spdlog::debug!("gateway: a datagram of {from} cannot be understood; dropped");
             return;
@@ -132,8 +137,10 @@
         let from = address::Socket(from);
         let endpoints = &self.core.endpoints;
         match message {
-            Message::All { sequence, tallies } => endpoints.heard(now, from, sequence, tallies),
-            Message::Sent(notices) => endpoints.noticed(now, from, &notices),
+            Message::Backlogs { sequence, backlogs } => {
+                endpoints.apply_backlogs(now, from, sequence, backlogs)
+            }
+            Message::Prompts(notices) => endpoints.apply_notices(now, from, &notices),
         }
     }
 }
--- a/crates/cranberrygap-entry/src/gateway/listener.rs
+++ b/crates/cranberrygap-entry/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and ends them in an orderly way.
+//! Accepts callers' connections and closes them in an orderly way.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,34 +11,34 @@
 
 use crate::server::socket;
 
-use super::{Gateway, connection};
+use super::{Gateway, caller_connection};
 
-/// Pause after a failed accept, such as when no file descriptor is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, for example when no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time between two looks for idle connections to endpoints.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Time between two searches for expired idle connections to endpoints.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Connections of callers; descriptors for endpoints must remain.
-const MOST_CONNECTIONS: usize = 2_200;
+/// Connections of callers; file descriptors must remain for endpoints.
+const MAX_CONNECTIONS: usize = 2_200;
 
-/// How far a planned stop has come.
+/// Progress of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Stage {
-    /// Everything is served.
+    /// All requests are served.
     Serving,
-    /// Idle connections are closed and nothing new is read from others.
+    /// Idle connections are closed, and no further request is read from the others.
     Closing,
 }
 
-/// The listener of a gateway.
+/// Listener of a gateway.
 #[derive(Debug)]
 pub(crate) struct Listener {
     pub(crate) address: address::Socket,
     stage: watch::Sender<Stage>,
-    open: Arc<AtomicUsize>,
-    accepting: tokio::task::JoinHandle<()>,
-    sweeping: tokio::task::JoinHandle<()>,
+    open_connections: Arc<AtomicUsize>,
+    accept_task: tokio::task::JoinHandle<()>,
+    sweep_task: tokio::task::JoinHandle<()>,
 }
 
 impl Listener {
@@ -46,35 +46,41 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be listened on.
+    /// When the address cannot be bound.
     pub(crate) fn start(gateway: &Arc<Gateway>, wanted: address::Socket) -> std::io::Result<Self> {
         let listener = socket::listen(wanted.0)?;
         let address = address::Socket(listener.local_addr()?);
         let (stage, staged) = watch::channel(Stage::Serving);
-        let open = Arc::new(AtomicUsize::new(0));
-        let accepting = accept(Arc::clone(gateway), listener, staged, Arc::clone(&open));
+        let open_connections = Arc::new(AtomicUsize::new(0));
+        let accepting = accept(
+            Arc::clone(gateway),
+            listener,
+            staged,
+            Arc::clone(&open_connections),
+        );
         Ok(Self {
             address,
             stage,
-            open,
-            accepting: tokio::spawn(accepting),
-            sweeping: tokio::spawn(sweep(Arc::clone(gateway))),
+            open_connections,
+            accept_task: tokio::spawn(accepting),
+            sweep_task: tokio::spawn(close_expired(Arc::clone(gateway))),
         })
     }
 
-    /// Connections of callers that are open.
-    pub(crate) fn open(&self) -> usize {
-        self.open.load(Ordering::Acquire)
+    /// Number of open connections of callers.
+    pub(crate) fn open_connections(&self) -> usize {
+        self.open_connections.load(Ordering::Acquire)
     }
 
-    /// Takes no new connections, lets those that are open finish their request,
-    /// and waits for them until `deadline`.
+    /// Stops accepting connections and waits for the open ones until `deadline`.
+    ///
+    /// They finish the request in progress.
     pub(crate) async fn finish(&self, deadline: time::Instant) {
-        self.accepting.abort();
-        self.sweeping.abort();
+        self.accept_task.abort();
+        self.sweep_task.abort();
         self.stage.send_replace(Stage::Closing);
-        while self.open() > 0 && time::Instant::now() < deadline {
-            time::sleep(ACCEPT_PAUSE).await;
+        while self.open_connections() > 0 && time::Instant::now() < deadline {
+            time::sleep(ACCEPT_RETRY_DELAY).await;
         }
     }
 }
@@ -83,30 +89,30 @@
     gateway: Arc<Gateway>,
     listener: TcpListener,
     stage: watch::Receiver<Stage>,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 ) {
     loop {
         let Ok((stream, _caller)) = listener.accept().await else {
-            time::sleep(ACCEPT_PAUSE).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.load(Ordering::Acquire) >= MOST_CONNECTIONS {
+        if open_connections.load(Ordering::Acquire) >= MAX_CONNECTIONS {
             spdlog::warn!("gateway: too many connections, one was refused");
             continue;
         }
-        let guard = Guard::new(&open);
+        let guard = Guard::new(&open_connections);
         let (gateway, stage) = (Arc::clone(&gateway), stage.clone());
         tokio::spawn(async move {
-            connection::serve(gateway, stream, stage).await;
+            caller_connection::serve(gateway, stream, stage).await;
             drop(guard);
         });
     }
 }
 
-async fn sweep(gateway: Arc<Gateway>) {
+async fn close_expired(gateway: Arc<Gateway>) {
     loop {
-        time::sleep(SWEEP).await;
-        gateway.pool.sweep();
+        time::sleep(SWEEP_INTERVAL).await;
+        gateway.pool.close_expired();
     }
 }
 
--- a/crates/cranberrygap-entry/src/gateway/pool.rs
+++ b/crates/cranberrygap-entry/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that wait for their next request.
+//! Idle connections to endpoints, kept for later requests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,40 +6,40 @@
 use cranberrygap_model::address;
 use parking_lot::Mutex;
 
-use super::line;
+use super::endpoint_connection;
 
-/// Time that a connection waits for a request that may run once only. Something on
-/// the way, or the endpoint, may close or forget an idle connection; a request that
-/// meets such a one is lost, and nobody can tell whether it ran.
-const CAREFUL: Duration = Duration::from_millis(1_500);
+/// Time that a connection stays idle before a request that may run only once. A device on
+/// the way, or the endpoint, may close or forget an idle connection; a request sent over
+/// such a connection is lost, and it is unknown whether it ran.
+const ONCE_ONLY_MAX_IDLE: Duration = Duration::from_millis(1_500);
 
-/// Time that a connection waits for any other request.
-const IDLE: Duration = Duration::from_secs(4);
+/// Time that a connection stays idle before any other request.
+const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// Connections that wait for one endpoint.
-const MOST_IDLE: usize = 16;
+/// Idle connections for one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    idle: Mutex<BTreeMap<address::Socket, Vec<Waiting>>>,
+    idle: Mutex<BTreeMap<address::Socket, Vec<Idle>>>,
 }
 
 #[derive(Debug)]
-struct Waiting {
-    line: line::Line,
-    since: Instant,
+struct Idle {
+    connection: endpoint_connection::Connection,
+    idle_since: Instant,
 }
 
-impl Waiting {
+impl Idle {
     fn is_usable(&self) -> bool {
-        let longest = IDLE.min(self.line.idle_time());
-        self.line.is_usable() && self.since.elapsed() < longest
+        let max_idle = MAX_IDLE.min(self.connection.max_idle_time());
+        self.connection.is_usable() && self.idle_since.elapsed() < max_idle
     }
 }
 
 impl Pool {
-    /// The connection that was used last, or a new one.
+    /// The most recently used connection, or a new one.
     ///
     /// # Errors
     ///
@@ -47,44 +47,55 @@
     pub(crate) async fn take(
         &self,
         address: address::Socket,
-        careful: bool,
-    ) -> std::io::Result<line::Line> {
-        if let Some(line) = self.take_idle(address, careful) {
-            return Ok(line);
+        once_only: bool,
+    ) -> std::io::Result<endpoint_connection::Connection> {
+        if let Some(connection) = self.take_idle(address, once_only) {
+            return Ok(connection);
         }
-        line::Line::open(address).await
+        endpoint_connection::Connection::open(address).await
     }
 
-    fn take_idle(&self, address: address::Socket, careful: bool) -> Option<line::Line> {
-        let longest = if careful { CAREFUL } else { IDLE };
+    fn take_idle(
+        &self,
+        address: address::Socket,
+        once_only: bool,
+    ) -> Option<endpoint_connection::Connection> {
+        let max_idle = if once_only {
+            ONCE_ONLY_MAX_IDLE
+        } else {
+            MAX_IDLE
+        };
         let mut idle = self.idle.lock();
-        let waiting = idle.get_mut(&address)?;
-        waiting.retain(Waiting::is_usable);
-        let fresh = waiting.last()?.since.elapsed() < longest;
-        let mut line = waiting.pop_if(|_| fresh)?.line;
-        line.reuse();
-        Some(line)
+        let connections = idle.get_mut(&address)?;
+        connections.retain(Idle::is_usable);
+        let is_fresh = connections.last()?.idle_since.elapsed() < max_idle;
+        let mut connection = connections.pop_if(|_| is_fresh)?.connection;
+        connection.mark_reused();
+        Some(connection)
     }
 
-    /// Keeps a connection whose last answer is whole.
-    pub(crate) fn put(&self, line: line::Line) {
-        if !line.is_usable() {
+    /// Keeps a connection whose last response is complete.
+    pub(crate) fn put(&self, connection: endpoint_connection::Connection) {
+        if !connection.is_usable() {
             return;
         }
         let mut idle = self.idle.lock();
-        let waiting = idle.entry(line.address()).or_default();
-        if waiting.len() >= MOST_IDLE {
-            waiting.remove(0);
+        let connections = idle.entry(connection.address()).or_default();
+        if connections.len() >= MAX_IDLE_PER_ENDPOINT {
+            connections.remove(0);
         }
-        let since = Instant::now();
-        waiting.push(Waiting { line, since });
+        let idle_since = Instant::now();
+        connections.push(Idle {
+            connection,
+            idle_since,
+        });
     }
 
-    /// Closes what has waited too long.
-    pub(crate) fn sweep(&self) {
-        self.idle.lock().retain(|_, waiting| {
-            waiting.retain(Waiting::is_usable);
-            !waiting.is_empty()
+    /// Closes expired connections.
+    pub(crate) fn close_expired(&self) {
+        self.idle.lock().retain(|_, connections| {
+            connections.retain(Idle::is_usable);
+            !connections.is_empty()
         });
     }
 }
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: read whole, checked against the plan, answered.
+//! One request of a caller: reads it, checks it against the plan and responds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use cranberrygap_state::traffic as state;
 use cranberrygap_wire::traffic;
 use http::uri::PathAndQuery;
-use http::{HeaderMap, HeaderValue, Method, Request, Response, header, request};
+use http::{HeaderMap, HeaderValue, Method, Request as HttpRequest, Response, header, request};
 use http_body_util::BodyExt as _;
 use hyper::body::{Body as _, Incoming};
 use smol_str::{SmolStr, ToSmolStr as _};
@@ -19,171 +19,175 @@
 use crate::metric;
 use crate::view::{self, traffic as table};
 
-use super::answer;
 use super::delivery;
 use super::dialect;
 use super::failure::{self, Failure};
-use super::{Gateway, story};
+use super::response;
+use super::{Gateway, request_log};
 
-/// Longest time for a body. Callers are on fast networks and send some kilobytes.
-const BODY_TIME: Duration = Duration::from_secs(8);
+/// Longest time to read a body. Callers are on fast networks and send some kilobytes.
+const BODY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Largest body before a plan says so.
-const FIRST_BODY: u64 = 1 << 20;
+/// Largest body before a plan is known, in bytes.
+const DEFAULT_MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// Time that callers are told while no traffic plan was ever accepted: operators send
-/// the first one by hand or script.
-const PLAN_WAIT: duration::Span = duration::Span::from_secs(1);
+/// Retry delay that callers are given until a traffic plan is accepted. Operators send the
+/// first one by hand or script.
+const NO_PLAN_RETRY_AFTER: duration::Span = duration::Span::from_secs(1);
 
-/// Callers leave a stream in which nothing comes, also before its first event, after this
-/// time, four objectives or eight of the pauses that they allow, whichever is longest.
-const SILENCE: duration::Span = duration::Span::from_secs(2);
-const SILENT_OBJECTIVES: u64 = 4;
-const SILENT_PAUSES: u64 = 8;
+/// Time after which callers leave a silent stream, also before its first event. It is the
+/// longest of this time, four objectives and eight of the pauses that they allow.
+const MIN_SILENCE_TIMEOUT: duration::Span = duration::Span::from_secs(2);
+const SILENCE_TIMEOUT_OBJECTIVES: u64 = 4;
+const SILENCE_TIMEOUT_PAUSES: u64 = 8;
 
-/// Part of the objective, one in so many, for which a request waits for tokens behind
-/// others of its workspace, and the longest such wait.
-const LINE_PART: u64 = 4;
-const LINE_WAIT: duration::Span = duration::Span::from_millis(350);
+/// The objective divided by this is the longest wait for tokens behind other requests of
+/// the workspace.
+const QUEUE_WAIT_DIVISOR: u64 = 4;
 
-/// Part of the time for which its caller waits for a first sign, one in so many, for which
-/// a request waits for the leader's word on its tokens. A leader that was lost has a
-/// successor within a second or two, and a late answer is still an answer; the other part
-/// is for the endpoint.
-const LEADER_PART: u64 = 2;
+/// Upper limit of the wait for tokens behind other requests of the workspace.
+const MAX_QUEUE_WAIT: duration::Span = duration::Span::from_millis(350);
 
-/// A request as it came, once its body is there.
+/// The caller's wait for the first event divided by this is the wait for the leader to
+/// grant tokens. A lost leader has a successor within a second or two, and a late response
+/// is still a response; the rest of the time is for the endpoint.
+const LEADER_WAIT_DIVISOR: u64 = 2;
+
+/// A request as it arrived, with its body.
 #[derive(Debug)]
-pub(crate) struct Facts {
+pub(crate) struct Request {
     pub method: Method,
     pub target: PathAndQuery,
     pub host: SmolStr,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub ask: dialect::Metadata,
+    pub metadata: dialect::Metadata,
     pub chain: memory::Chain,
-    pub arrived: duration::Instant,
-    /// Draws the part of a split route, the same for all its sends.
-    pub roll: f64,
+    pub arrived_at: duration::Instant,
+    /// Random number that selects a split of the route, the same for all attempts.
+    pub split_draw: f64,
 }
 
 /// What the plan in force says about a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Resolved {
+pub(crate) struct Resolution {
     pub route: traffic::Route,
-    pub workspace: Option<Payer>,
+    pub workspace: Option<Workspace>,
     pub service: id::Service,
     pub has_engine: bool,
-    /// Requests in one batch of its engines, 0 where it has none.
+    /// Requests in one batch of the service's engines; 0 without engines.
     pub slots: u32,
     /// Version of the plan.
-    pub plan: u64,
+    pub plan_version: u64,
 }
 
-/// For whom a request runs.
+/// The workspace that a request runs for.
 #[derive(Debug, Clone)]
-pub(crate) struct Payer {
+pub(crate) struct Workspace {
     pub name: id::Workspace,
     pub priority: Option<u32>,
-    pub limited: bool,
+    pub is_rate_limited: bool,
     pub plain_cost: u64,
     pub by_tokens: bool,
 }
 
-impl Resolved {
-    /// Rank of the request, 0 is the most urgent.
+impl Resolution {
+    /// Priority of the request; 0 is the most urgent.
     pub(crate) fn priority(&self) -> u32 {
-        let payer = self.workspace.as_ref().and_then(|payer| payer.priority);
-        payer.unwrap_or(self.route.priority)
+        let own_priority = self
+            .workspace
+            .as_ref()
+            .and_then(|workspace| workspace.priority);
+        own_priority.unwrap_or(self.route.priority)
     }
 
-    /// Rank as the endpoints tells ranks apart.
+    /// Priority, limited to the ranks that the backlog of an endpoint has.
     pub(crate) fn rank(&self) -> usize {
         (self.priority() as usize).min(tally::RANKS - 1)
     }
 }
 
-impl Facts {
-    /// What the plan in force at this moment says.
-    pub(crate) fn resolve(&self, view: &view::Snapshot) -> Result<Resolved, Failure> {
-        let table = view.traffic().ok_or_else(|| no_view(PLAN_WAIT))?;
+impl Request {
+    /// Resolves the request against the plan in force at this moment.
+    pub(crate) fn resolve(&self, view: &view::Snapshot) -> Result<Resolution, Failure> {
+        let table = view.traffic().ok_or_else(|| no_view(NO_PLAN_RETRY_AFTER))?;
         let route = table.route(&self.host, self.target.path());
         let route = route.ok_or(Failure::NoRoute)?;
-        let workspace = self.payer(table, route)?;
-        let service = part(route, self.roll).ok_or(Failure::NoRoute)?;
-        let known = table.service(&service);
-        Ok(Resolved {
+        let workspace = self.paying_workspace(table, route)?;
+        let service = pick_split(route, self.split_draw).ok_or(Failure::NoRoute)?;
+        let service_plan = table.service(&service);
+        Ok(Resolution {
             route: route.clone(),
             workspace,
-            has_engine: known.is_some_and(|known| known.engine.is_some()),
-            slots: known
-                .and_then(|known| known.engine.as_ref())
+            has_engine: service_plan.is_some_and(|service_plan| service_plan.engine.is_some()),
+            slots: service_plan
+                .and_then(|service_plan| service_plan.engine.as_ref())
                 .map_or(0, |engine| engine.slots),
             service,
-            plan: table.plan().version,
+            plan_version: table.plan().version,
         })
     }
 
-    fn payer(
+    fn paying_workspace(
         &self,
         table: &table::Table,
         route: &traffic::Route,
-    ) -> Result<Option<Payer>, Failure> {
+    ) -> Result<Option<Workspace>, Failure> {
         if route.public || !table.has_workspaces() {
             return Ok(None);
         }
-        let key = self.ask.key.as_ref().ok_or(Failure::NoKey)?;
+        let key = self.metadata.key.as_ref().ok_or(Failure::NoKey)?;
         let key = state::hash(key);
         let workspace = table.workspace(&key).ok_or(Failure::NoKey)?;
-        Ok(Some(Payer {
+        Ok(Some(Workspace {
             name: workspace.workspace.clone(),
             priority: workspace.priority,
-            limited: workspace.rate.0 > 0.0,
+            is_rate_limited: workspace.rate.0 > 0.0,
             plain_cost: workspace.plain_cost,
             by_tokens: workspace.by_tokens,
         }))
     }
 
     /// Tokens that the request costs its workspace.
-    fn cost(&self, payer: &Payer) -> token::Count {
-        if !payer.by_tokens {
+    fn cost(&self, workspace: &Workspace) -> token::Count {
+        if !workspace.by_tokens {
             return token::Count(1);
         }
-        let tokens = self.ask.tokens;
-        token::Count(tokens.map_or(payer.plain_cost, |tokens| tokens.prompt + tokens.output))
+        let tokens = self.metadata.tokens;
+        token::Count(tokens.map_or(workspace.plain_cost, |tokens| tokens.prompt + tokens.output))
     }
 
-    /// The moment at which the caller leaves if nothing has come by then.
-    pub(crate) fn silence_ends(&self, route: &traffic::Route) -> duration::Instant {
+    /// Time at which the caller leaves if nothing has arrived by then.
+    pub(crate) fn silence_deadline(&self, route: &traffic::Route) -> duration::Instant {
         let is_stream = matches!(route.kind, traffic::Kind::Stream | traffic::Kind::Resumable);
         let deadline = self.deadline(route);
         if !is_stream {
             return deadline;
         }
-        let by_objective = duration::Span(route.objective.0 * SILENT_OBJECTIVES);
-        let by_pause = duration::Span(route.pause.unwrap_or_default().0 * SILENT_PAUSES);
-        let longest = SILENCE.max(by_objective).max(by_pause);
-        self.arrived.after(longest).min(deadline)
+        let by_objective = duration::Span(route.objective.0 * SILENCE_TIMEOUT_OBJECTIVES);
+        let by_pause = duration::Span(route.pause.unwrap_or_default().0 * SILENCE_TIMEOUT_PAUSES);
+        let timeout = MIN_SILENCE_TIMEOUT.max(by_objective).max(by_pause);
+        self.arrived_at.after(timeout).min(deadline)
     }
 
-    /// The moment by which the caller must have its answer.
+    /// Time by which the caller must have its response.
     pub(crate) fn deadline(&self, route: &traffic::Route) -> duration::Instant {
-        let patience = self.ask.timeout.unwrap_or(route.deadline);
-        self.arrived.after(patience.min(route.deadline))
+        let timeout = self.metadata.timeout.unwrap_or(route.deadline);
+        self.arrived_at.after(timeout.min(route.deadline))
     }
 }
 
-/// The service that a split route's draw falls on.
-fn part(route: &traffic::Route, roll: f64) -> Option<id::Service> {
+/// The service of the split that `draw` selects.
+fn pick_split(route: &traffic::Route, draw: f64) -> Option<id::Service> {
     let total: u64 = route
         .splits
         .iter()
         .map(|split| u64::from(split.weight))
         .sum();
-    let mut left = roll * total as f64;
+    let mut remaining = draw * total as f64;
     for split in &route.splits {
-        left -= f64::from(split.weight);
-        if left < 0.0 {
+        remaining -= f64::from(split.weight);
+        if remaining < 0.0 {
             return Some(split.service.clone());
         }
     }
@@ -191,22 +195,23 @@
     weighted.map(|split| split.service.clone())
 }
 
-/// Answers one request.
+/// Serves one request.
 pub(crate) async fn serve(
     gateway: Arc<Gateway>,
-    request: Request<Incoming>,
-) -> Response<answer::Body> {
-    let arrived = gateway.core.now();
+    request: HttpRequest<Incoming>,
+) -> Response<response::Body> {
+    let arrived_at = gateway.core.now();
     let (head, body) = request.into_parts();
-    let mut told = story::Story::new(arrived, None);
-    let mut response = match answer(&gateway, arrived, head, body, &mut told).await {
+    let mut log = request_log::Log::new(arrived_at, None);
+    let mut response = match respond(&gateway, arrived_at, head, body, &mut log).await {
         Ok(response) => response,
         Err(failure) => {
             let now = gateway.core.now();
-            let (code, cause, wait) = (failure.code(), failure.cause(), failure.wait());
-            told.failed(&gateway.volume, now, code, cause, wait);
+            let (code, cause, retry_after) =
+                (failure.code(), failure.cause(), failure.retry_after());
+            log.log_failure(&gateway.log_limiter, now, code, cause, retry_after);
             gateway.core.count(metric::GATEWAY_FAILURES, code);
-            failure.answer()
+            failure.to_response()
         }
     };
     let status = response.status();
@@ -214,70 +219,74 @@
         .core
         .count(metric::GATEWAY_REQUESTS, status.as_str());
     if gateway.core.is_draining() {
-        // Callers that keep the connection would send their next request to a
-        // process that is about to end.
+        // Callers that keep the connection would send their next request to a process that
+        // is about to end.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
     response
 }
 
-async fn answer(
+async fn respond(
     gateway: &Arc<Gateway>,
-    arrived: duration::Instant,
+    arrived_at: duration::Instant,
     head: request::Parts,
     body: Incoming,
-    told: &mut story::Story,
-) -> Result<Response<answer::Body>, Failure> {
-    let ask = gateway.dialect.read_headers(&head.headers);
-    let ask = ask.map_err(Failure::Malformed)?;
-    told.id.clone_from(&ask.id);
+    log: &mut request_log::Log,
+) -> Result<Response<response::Body>, Failure> {
+    let metadata = gateway.dialect.read_headers(&head.headers);
+    let metadata = metadata.map_err(Failure::Malformed)?;
+    log.id.clone_from(&metadata.id);
     let body = read_body(gateway, body).await?;
-    let facts = facts(arrived, head, body, ask)?;
+    let received = to_request(arrived_at, head, body, metadata)?;
     let view = serving_view(gateway)?;
-    let resolved = facts.resolve(&view)?;
-    told.revision = view.revision().0;
+    let resolution = received.resolve(&view)?;
+    log.revision = view.revision().0;
     let entries = view.active_entries().count();
     drop(view);
-    note(told, &facts, &resolved);
-    let permit = pay(gateway, &facts, &resolved).await?;
-    note_payment(gateway, &facts, told);
-    gateway.reserve.lock().earn(&resolved.service, entries);
-    // The delivery goes on to tell the story, also after the head of a stream has gone
-    // out; what is left here is told if it fails before.
-    let delivery = delivery::Delivery::new(gateway, facts, resolved, permit, std::mem::take(told));
+    log_resolution(log, &received, &resolution);
+    let permit = reserve_tokens(gateway, &received, &resolution).await?;
+    log_token_wait(gateway, &received, log);
+    gateway
+        .resend_budget
+        .lock()
+        .earn(&resolution.service, entries);
+    // The delivery continues the log, also after the head of a stream is sent; it returns
+    // the log if it fails before that.
+    let delivery =
+        delivery::Delivery::new(gateway, received, resolution, permit, std::mem::take(log));
     match delivery.run().await {
         Ok(response) => Ok(response),
-        Err((story, failure)) => {
-            *told = story;
+        Err((returned_log, failure)) => {
+            *log = returned_log;
             Err(failure)
         }
     }
 }
 
-fn note(told: &mut story::Story, facts: &Facts, resolved: &Resolved) {
-    told.route = resolved.route.name.clone();
-    told.plan = resolved.plan;
-    if let Some(payer) = &resolved.workspace {
-        told.workspace = SmolStr::new(payer.name.as_str());
+fn log_resolution(log: &mut request_log::Log, received: &Request, resolution: &Resolution) {
+    log.route = resolution.route.name.clone();
+    log.plan_version = resolution.plan_version;
+    if let Some(workspace) = &resolution.workspace {
+        log.workspace = SmolStr::new(workspace.name.as_str());
     }
-    if let Some(model) = &facts.ask.model {
-        told.model = SmolStr::new(model.as_str());
+    if let Some(model) = &received.metadata.model {
+        log.model = SmolStr::new(model.as_str());
     }
 }
 
-/// Notes a wait for tokens that a caller may have felt.
-fn note_payment(gateway: &Gateway, facts: &Facts, told: &mut story::Story) {
-    const FELT: duration::Span = duration::Span::from_millis(20);
+/// Logs a wait for tokens that a caller may have noticed.
+fn log_token_wait(gateway: &Gateway, received: &Request, log: &mut request_log::Log) {
+    const NOTICEABLE_WAIT: duration::Span = duration::Span::from_millis(20);
     let now = gateway.core.now();
-    if now.since(facts.arrived) > FELT {
-        told.step(now, format_args!("its body and tokens are there"));
+    if now.since(received.arrived_at) > NOTICEABLE_WAIT {
+        log.add_step(now, format_args!("its body and tokens are there"));
     }
 }
 
-fn no_view(wait: duration::Span) -> Failure {
-    let wait = failure::spread(wait);
-    Failure::NoView { wait }
+fn no_view(retry_after: duration::Span) -> Failure {
+    let retry_after = failure::jittered(retry_after);
+    Failure::NoView { retry_after }
 }
 
 /// The view to serve from.
@@ -290,31 +299,31 @@
     view.ok_or_else(|| no_view(gateway.core.view.wait(now)))
 }
 
-fn facts(
-    arrived: duration::Instant,
+fn to_request(
+    arrived_at: duration::Instant,
     head: request::Parts,
     body: Bytes,
-    ask: dialect::Metadata,
-) -> Result<Facts, Failure> {
+    metadata: dialect::Metadata,
+) -> Result<Request, Failure> {
     let host = host(&head).ok_or_else(|| Failure::Malformed("there is no host".into()))?;
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
-    let model = ask.model.as_ref().map_or("", id::Model::as_str);
-    let chain = memory::Chain::new(model, ask.adapter.as_deref(), &ask.prompt_parts);
+    let model = metadata.model.as_ref().map_or("", id::Model::as_str);
+    let chain = memory::Chain::new(model, metadata.adapter.as_deref(), &metadata.prompt_parts);
     let mut headers = head.headers;
-    answer::strip_hop_by_hop(&mut headers);
+    response::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    Ok(Facts {
+    Ok(Request {
         method: head.method,
         target,
         host,
         headers,
         body,
-        ask,
+        metadata,
         chain,
-        arrived,
-        roll: rand::random(),
+        arrived_at,
+        split_draw: rand::random(),
     })
 }
 
@@ -337,46 +346,53 @@
     }
     let view = gateway.core.view.latest();
     let table = view.as_ref().and_then(|view| view.traffic());
-    let most = table.map_or(FIRST_BODY, |table| table.plan().bounds.body);
-    if body.size_hint().lower() > most {
+    let max_bytes = table.map_or(DEFAULT_MAX_BODY_BYTES, |table| table.plan().bounds.body);
+    if body.size_hint().lower() > max_bytes {
         return Err(Failure::TooLarge);
     }
-    let reading = async {
+    let read_all = async {
         let mut whole = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_broken| Failure::BrokenBody)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if (whole.len() + data.len()) as u64 > most {
+            if (whole.len() + data.len()) as u64 > max_bytes {
                 return Err(Failure::TooLarge);
             }
             whole.extend_from_slice(&data);
         }
         Ok(whole.freeze())
     };
-    let read = tokio::time::timeout(BODY_TIME, reading).await;
-    read.unwrap_or(Err(Failure::SlowBody))
+    let result = tokio::time::timeout(BODY_TIMEOUT, read_all).await;
+    result.unwrap_or(Err(Failure::SlowBody))
 }
 
-/// Reserves what the request costs; none for workspaces without a limit.
-async fn pay(
+/// Reserves the tokens that the request costs; `None` for workspaces without a limit.
+async fn reserve_tokens(
     gateway: &Gateway,
-    facts: &Facts,
-    resolved: &Resolved,
+    received: &Request,
+    resolution: &Resolution,
 ) -> Result<Option<admission::Permit>, Failure> {
-    let Some(payer) = resolved.workspace.as_ref().filter(|payer| payer.limited) else {
+    let Some(workspace) = resolution
+        .workspace
+        .as_ref()
+        .filter(|workspace| workspace.is_rate_limited)
+    else {
         return Ok(None);
     };
     let limiter = &gateway.core.limiter;
-    let cost = facts.cost(payer);
-    let given = facts.silence_ends(&resolved.route).since(facts.arrived);
-    let objective = resolved.route.objective;
-    let patience = holder::Patience {
-        in_line: duration::Span(objective.0 / LINE_PART).min(LINE_WAIT),
-        for_leader: duration::Span(given.0 / LEADER_PART),
+    let cost = received.cost(workspace);
+    let silence_timeout = received
+        .silence_deadline(&resolution.route)
+        .since(received.arrived_at);
+    let objective = resolution.route.objective;
+    let max_wait = holder::Patience {
+        in_line: duration::Span(objective.0 / QUEUE_WAIT_DIVISOR).min(MAX_QUEUE_WAIT),
+        for_leader: duration::Span(silence_timeout.0 / LEADER_WAIT_DIVISOR),
     };
-    let reserved = admission::Permit::reserve_with_max_wait(limiter, &payer.name, cost, patience);
+    let reserved =
+        admission::Permit::reserve_with_max_wait(limiter, &workspace.name, cost, max_wait);
     let permit = tokio::select! {
         biased;
         permit = reserved => permit,
@@ -384,8 +400,8 @@
     };
     match permit {
         Ok(permit) => Ok(Some(permit)),
-        Err(refused) => Err(Failure::OverRate {
-            wait: failure::spread(refused.retry_after()),
+        Err(rejection) => Err(Failure::OverRate {
+            retry_after: failure::jittered(rejection.retry_after()),
         }),
     }
 }
--- a/crates/cranberrygap-entry/src/gateway/answer.rs
+++ b/crates/cranberrygap-entry/src/gateway/response.rs
@@ -1,24 +1,24 @@
-//! Bodies and heads of answers to callers.
+//! Bodies and headers of responses to callers.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, header};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt as _, Full};
 
-/// Why a body ends before it is whole. The caller's connection is then cut, so that
-/// a part is never taken for the whole.
-pub(crate) type Cut = std::io::Error;
+/// Why a body ends early. The caller's connection is then cut, so that a partial body is
+/// never taken for a whole one.
+pub(crate) type Error = std::io::Error;
 
-/// A body of an answer.
-pub(crate) type Body = UnsyncBoxBody<Bytes, Cut>;
+/// Body of a response.
+pub(crate) type Body = UnsyncBoxBody<Bytes, Error>;
 
-/// A body that is there as a whole.
-pub(crate) fn whole(content: impl Into<Bytes>) -> Body {
+/// A body whose content is complete.
+pub(crate) fn full_body(content: impl Into<Bytes>) -> Body {
     let full = Full::new(content.into());
     full.map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Headers that concern one connection only.
+/// Headers that concern a single connection.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TE,
@@ -29,7 +29,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Takes out what concerns one connection only, and what `Connection` names.
+/// Removes headers that concern a single connection or that `Connection` names.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/cranberrygap-entry/src/gateway/stream.rs
+++ b/crates/cranberrygap-entry/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on as it comes, and has another engine go on when it breaks.
+//! Forwards a stream as it arrives, and continues it at another engine when it breaks.
 
 use bytes::{Bytes, BytesMut};
 use cranberrygap_model::duration;
@@ -10,137 +10,141 @@
 use crate::metric;
 use crate::sse;
 
-use super::answer::{self, Cut};
 use super::delivery;
-use super::flight;
-use super::line;
+use super::endpoint_connection;
+use super::in_flight;
+use super::response::{self, Error};
 
-/// A stream on its way to the caller. Dropping it, which happens when the caller
-/// leaves, closes the connection to the engine, which then stops.
+/// A stream on its way to the caller. Dropping it, as when the caller leaves, closes the
+/// connection to the engine, which then stops.
 struct Relay {
     delivery: delivery::Delivery,
     upstream: Option<Upstream>,
-    /// Cuts events out of the bytes; only for streams that another engine may go
-    /// on with, which begins after a whole event.
+    /// Splits the bytes into events. Only streams that another engine can continue need
+    /// it, since that engine starts after a whole event.
     splitter: Option<sse::Splitter>,
-    last_event: Option<String>,
-    /// When its last event came, once one has.
-    last_came: Option<duration::Instant>,
-    /// Why the stream is late, once it is.
-    late: Option<&'static str>,
+    last_event_id: Option<String>,
+    /// Time at which the last event arrived.
+    last_event_at: Option<duration::Instant>,
+    /// Why the stream is late, if it is.
+    late_cause: Option<&'static str>,
 }
 
 struct Upstream {
     body: Incoming,
-    line: line::Line,
-    flight: flight::Flight,
+    connection: endpoint_connection::Connection,
+    in_flight: in_flight::Request,
 }
 
-/// The answer whose body is the stream.
+/// A response whose body is the stream.
 pub(super) fn relay(
     delivery: delivery::Delivery,
     head: Response<()>,
     body: Incoming,
-    line: line::Line,
-    flight: flight::Flight,
-) -> Response<answer::Body> {
+    connection: endpoint_connection::Connection,
+    in_flight: in_flight::Request,
+) -> Response<response::Body> {
     let splitter = delivery.is_repeatable().then(sse::Splitter::default);
-    let last_event = delivery
-        .facts
-        .ask
+    let last_event_id = delivery
+        .request
+        .metadata
         .last_event_id
         .as_deref()
         .map(str::to_owned);
     let relay = Relay {
         delivery,
-        upstream: Some(Upstream { body, line, flight }),
+        upstream: Some(Upstream {
+            body,
+            connection,
+            in_flight,
+        }),
         splitter,
-        last_event,
-        last_came: None,
-        late: None,
+        last_event_id,
+        last_event_at: None,
+        late_cause: None,
     };
     let frames = stream::unfold(relay, |mut relay| async move {
-        let next = relay.next().await?;
+        let next = relay.next_bytes().await?;
         Some((next.map(Frame::data), relay))
     });
     head.map(|()| StreamBody::new(frames).boxed_unsync())
 }
 
 impl Relay {
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next_bytes(&mut self) -> Option<Result<Bytes, Error>> {
         loop {
-            let deadline = self.delivery.deadline().after(delivery::GRACE);
-            let left = deadline.since(self.delivery.gateway.core.now());
+            let deadline = self.delivery.deadline().after(delivery::DEADLINE_GRACE);
+            let time_left = deadline.since(self.delivery.gateway.core.now());
             let upstream = self.upstream.as_mut()?;
-            let frame = tokio::time::timeout(left.to_std(), upstream.body.frame()).await;
+            let frame = tokio::time::timeout(time_left.to_std(), upstream.body.frame()).await;
             match frame {
-                Err(_elapsed) => return Some(Err(self.cut("the deadline passed"))),
+                Err(_elapsed) => return Some(Err(self.interrupt("the deadline passed"))),
                 Ok(Some(Ok(frame))) => {
-                    self.note_progress();
+                    self.record_progress();
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    match self.pass(data) {
+                    match self.complete_events(data) {
                         Ok(data) if data.is_empty() => {}
                         other => return Some(other),
                     }
                 }
                 Ok(None) if self.is_between_events() => {
-                    self.end();
+                    self.finish();
                     return None;
                 }
                 Ok(None) => {
-                    if !self.go_on("it ended within an event").await {
-                        return Some(Err(self.cut("it ended within an event")));
+                    if !self.continue_elsewhere("it ended within an event").await {
+                        return Some(Err(self.interrupt("it ended within an event")));
                     }
                 }
                 Ok(Some(Err(_broken))) => {
-                    if !self.go_on("the connection broke").await {
-                        return Some(Err(self.cut("the connection broke")));
+                    if !self.continue_elsewhere("the connection broke").await {
+                        return Some(Err(self.interrupt("the connection broke")));
                     }
                 }
             }
         }
     }
 
-    /// Notes that more of the stream has come, and whether that is late.
-    fn note_progress(&mut self) {
+    /// Records that more of the stream arrived, and whether it is late.
+    fn record_progress(&mut self) {
         let now = self.delivery.gateway.core.now();
-        let route = &self.delivery.resolved.route;
+        let route = &self.delivery.resolution.route;
         let (objective, pause) = (route.objective, route.pause);
-        let before = self.last_came.replace(now);
+        let previous = self.last_event_at.replace(now);
         if let Some(upstream) = &mut self.upstream {
-            let pause = before.map(|before| now.since(before));
-            upstream.flight.event(now, pause);
+            let pause = previous.map(|previous| now.since(previous));
+            upstream.in_flight.record_event(now, pause);
         }
-        let (passed, most, late) = match before {
+        let (elapsed, limit, late_cause) = match previous {
             None => {
-                self.delivery.note_first_event();
-                let waited = now.since(self.delivery.facts.arrived);
+                self.delivery.record_first_event();
+                let waited = now.since(self.delivery.request.arrived_at);
                 (waited, Some(objective), "the first event")
             }
-            Some(before) => (now.since(before), pause, "a pause between events"),
+            Some(previous) => (now.since(previous), pause, "a pause between events"),
         };
-        if self.late.is_some() || most.is_none_or(|most| passed <= most) {
+        if self.late_cause.is_some() || limit.is_none_or(|limit| elapsed <= limit) {
             return;
         }
-        self.late = Some(late);
-        let step = format_args!("{late} took {}ms", passed.0 / 1_000);
-        self.delivery.story.step(now, step);
+        self.late_cause = Some(late_cause);
+        let step = format_args!("{late_cause} took {}ms", elapsed.0 / 1_000);
+        self.delivery.log.add_step(now, step);
     }
 
-    /// What of the bytes may go out now.
-    fn pass(&mut self, data: Bytes) -> Result<Bytes, Cut> {
+    /// The bytes that can be forwarded now.
+    fn complete_events(&mut self, data: Bytes) -> Result<Bytes, Error> {
         let Some(splitter) = &mut self.splitter else {
             return Ok(data);
         };
         if splitter.push(&data).is_err() {
-            return Err(self.cut("an event is too long"));
+            return Err(self.interrupt("an event is too long"));
         }
         let mut whole = BytesMut::new();
         while let Some(event) = splitter.next_event() {
-            if let Some(id) = id(&event) {
-                self.last_event = Some(id);
+            if let Some(id) = event_id(&event) {
+                self.last_event_id = Some(id);
             }
             whole.extend_from_slice(&event);
         }
@@ -151,60 +155,61 @@
         self.splitter.as_ref().is_none_or(sse::Splitter::is_empty)
     }
 
-    /// The stream is whole; its connection is kept.
-    fn end(&mut self) {
+    /// Records that the stream is complete, and keeps its connection.
+    fn finish(&mut self) {
         let now = self.delivery.gateway.core.now();
         if let Some(upstream) = self.upstream.take() {
-            upstream.flight.end(now);
-            self.delivery.gateway.pool.put(upstream.line);
+            upstream.in_flight.record_end(now);
+            self.delivery.gateway.pool.put(upstream.connection);
         }
         self.delivery
-            .story
-            .ended(&self.delivery.gateway.volume, now, self.late);
+            .log
+            .log_success(&self.delivery.gateway.log_limiter, now, self.late_cause);
     }
 
-    /// Ends the answer so that the caller sees that it is not whole.
-    fn cut(&mut self, cause: &'static str) -> Cut {
+    /// Ends the response so that the caller sees that it is incomplete.
+    fn interrupt(&mut self, cause: &'static str) -> Error {
         let core = &self.delivery.gateway.core;
         let now = core.now();
-        let volume = &self.delivery.gateway.volume;
+        let limiter = &self.delivery.gateway.log_limiter;
         self.delivery
-            .story
-            .failed(volume, now, "stream_cut", cause, None);
+            .log
+            .log_failure(limiter, now, "stream_cut", cause, None);
         core.count(metric::GATEWAY_FAILURES, "stream_cut");
         self.upstream = None;
-        Cut::other(cause)
+        Error::other(cause)
     }
 
-    /// Has another engine go on behind the last whole event that the caller has.
-    async fn go_on(&mut self, cause: &'static str) -> bool {
-        // The connection is closed first: an engine that still works on it stops.
+    /// Continues the stream at another engine, after the last complete event that
+    /// the caller has.
+    async fn continue_elsewhere(&mut self, cause: &'static str) -> bool {
+        // Closing the connection first stops an engine that still works on the request.
         if let Some(upstream) = self.upstream.take() {
-            upstream.flight.judge(false);
+            upstream.in_flight.record_outcome(false);
         }
         if self.splitter.is_none() {
             return false;
         }
-        let last_event = self.last_event.clone();
-        let resumed = self.delivery.resume(last_event.as_deref()).await;
-        let Some(answered) = resumed else {
+        let last_event_id = self.last_event_id.clone();
+        let resumed = self.delivery.resume_stream(last_event_id.as_deref()).await;
+        let Some(reply) = resumed else {
             return false;
         };
         let now = self.delivery.gateway.core.now();
         let resumed = format_args!("another engine goes on with the stream: {cause}");
-        self.delivery.story.step(now, resumed);
+        self.delivery.log.add_step(now, resumed);
         self.splitter = Some(sse::Splitter::default());
         self.upstream = Some(Upstream {
-            body: answered.response.into_body(),
-            line: answered.line,
-            flight: answered.flight,
+            body: reply.response.into_body(),
+            connection: reply.connection,
+            in_flight: reply.in_flight,
         });
         true
     }
 }
 
 /// The id of an event.
-fn id(event: &[u8]) -> Option<String> {
+fn event_id(event: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(event).ok()?;
     let id = text.lines().find_map(|line| line.strip_prefix("id:"))?;
     Some(id.trim().to_owned())
