--- a/crates/cranberrygap-entry/src/admission/loans.rs
+++ b/crates/cranberrygap-entry/src/admission/loans.rs
@@ -48,7 +48,7 @@
                     Ok((length, from)) => self.handle_datagram(address::Socket(from), &buffer[..length]).await,
                     // The port of a stopped entry is closed; requests to it time out by
                     // themselves.
-                    Err(cause) => spdlog::debug!("limits: no datagram: {cause}"),
+                    Err(cause) => spdlog::debug!("limits: receiving a datagram failed: {cause}"),
                 },
                 () = self.shares.wait_for_borrowing() => {}
             }
@@ -67,7 +67,7 @@
             }
             Ok(Message::Loan(loan)) => self.shares.apply_loan(from, &loan),
             Err(cause) => {
-                spdlog::debug!("limits: a datagram of {from} cannot be understood: {cause}");
+                spdlog::debug!("limits: malformed datagram from {from}: {cause}");
             }
         }
     }
@@ -76,13 +76,13 @@
         let bytes = match postcard::to_stdvec(message) {
             Ok(bytes) => bytes,
             Err(cause) => {
-                spdlog::warn!("limits: a datagram cannot be written: {cause}");
+                spdlog::warn!("limits: encoding a datagram failed: {cause}");
                 return;
             }
         };
         if let Err(cause) = self.socket.send_to(&bytes, to.0).await {
             // Counts as a lost datagram; a loan request is sent again.
-            spdlog::debug!("limits: a datagram to {to} is not sent: {cause}");
+            spdlog::debug!("limits: sending a datagram to {to} failed: {cause}");
         }
     }
 }
--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -156,7 +156,7 @@
                 inner.lender.granted(now, &granted);
             }
             Err(cause) => {
-                spdlog::debug!("limits: what is lent is not renewed: {cause}");
+                spdlog::debug!("limits: renewing the lent shares failed: {cause}");
                 inner.lender.failed(renewal.sequence);
             }
         }
--- a/crates/cranberrygap-entry/src/admission/stats.rs
+++ b/crates/cranberrygap-entry/src/admission/stats.rs
@@ -71,14 +71,11 @@
         if requests == 0 {
             return None;
         }
-        let mut line = format!(
-            "{} requests had their tokens at once",
-            finished.admitted_at_once
-        );
+        let mut line = format!("{} requests admitted at once", finished.admitted_at_once);
         // Writing to a string never fails.
         let _infallible = write!(
             line,
-            ", {} waited {}, {} were refused after {}; renewals",
+            ", {} after waiting {}, {} refused after {}; renewals",
             finished.admitted_waits.count,
             finished.admitted_waits.describe(),
             finished.refused_waits.count,
@@ -89,7 +86,7 @@
         }
         let _infallible = write!(
             line,
-            " {} answered in {}, {} not",
+            " {} answered in {}, {} unanswered",
             finished.renewal_times.count,
             finished.renewal_times.describe(),
             finished.unanswered_renewals
@@ -117,9 +114,9 @@
 
 const fn reason_label(reason: holder::Reason) -> &'static str {
     match reason {
-        holder::Reason::Period => "by period",
+        holder::Reason::Period => "periodic",
         holder::Reason::Shortage => "for shortage",
-        holder::Reason::Confirmation => "to confirm",
-        holder::Reason::Silence => "after silence",
+        holder::Reason::Confirmation => "for confirmation",
+        holder::Reason::Silence => "after no answer",
     }
 }
--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -134,7 +134,7 @@
         let crash = self.core.watch.lock().died(self.core.now(), &incarnation);
         if let Some(crash) = crash {
             warn!(
-                "quarantine: {} died with {} requests of this entry",
+                "quarantine: {} died while it ran {} requests of this entry",
                 crash.place.endpoint,
                 crash.fingerprints.len()
             );
@@ -192,7 +192,7 @@
         .call(method::CRASH_REPORT, message, CRASH_REPORT_TIMEOUT)
         .await;
     if let Err(cause) = result {
-        warn!("quarantine: the leader was not told: {cause}");
+        warn!("quarantine: reporting to the leader failed: {cause}");
     }
 }
 
@@ -200,9 +200,12 @@
     fn drop(&mut self) {
         let elapsed = self.core.now().since(self.sent_at);
         let (code, sentence) = if self.failed {
-            ("broken", "the endpoint failed, or its answer was not whole")
+            (
+                "broken",
+                "the endpoint failed, or its response was incomplete",
+            )
         } else {
-            ("ended", "the endpoint's part ended")
+            ("ended", "the attempt ended")
         };
         let facts: [(&'static str, &dyn std::fmt::Display); 1] = [("took", &elapsed)];
         self.core.trace.note(&self.about, code, sentence, &facts);
--- a/crates/cranberrygap-entry/src/gateway/activity.rs
+++ b/crates/cranberrygap-entry/src/gateway/activity.rs
@@ -110,7 +110,7 @@
         // Nothing else is being written between two requests, and a caller whose buffer is
         // full reads no response anyway.
         if let Err(cause) = self.stream.try_write(HEAD_TIMEOUT_RESPONSE) {
-            spdlog::debug!("gateway: a slow caller could not be told: {cause}");
+            spdlog::debug!("gateway: sending 408 to a slow caller failed: {cause}");
         }
     }
 }
--- a/crates/cranberrygap-entry/src/gateway/caller_connection.rs
+++ b/crates/cranberrygap-entry/src/gateway/caller_connection.rs
@@ -82,7 +82,7 @@
                     stream.send_head_timeout();
                     gateway.core.count(metric::GATEWAY_FAILURES, "head_slow");
                     if let Some(dropped_lines) = gateway.log_limiter.take_line(gateway.core.now()) {
-                        spdlog::info!("gateway: a head did not end in time, the caller got 408", kv: {
+                        spdlog::info!("gateway: a request head did not arrive in time, the caller got 408", kv: {
                             lines_dropped = dropped_lines,
                         });
                     }
--- a/crates/cranberrygap-entry/src/gateway/delivery.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery.rs
@@ -227,12 +227,14 @@
             Outcome::Response(reply) => {
                 let status = reply.response.status().as_u16();
                 self.log
-                    .add_step(now, format_args!("{endpoint} answers {status}"));
+                    .add_step(now, format_args!("{endpoint} responded with {status}"));
                 self.gateway.core.count(metric::GATEWAY_SENDS, "answered");
             }
             Outcome::NotRun(cause) => {
-                self.log
-                    .add_step(now, format_args!("{endpoint} did not run it: {cause:?}"));
+                self.log.add_step(
+                    now,
+                    format_args!("{endpoint} did not run the request: {cause:?}"),
+                );
                 self.gateway.core.count(metric::GATEWAY_SENDS, "not_run");
             }
             Outcome::Unreachable => {
@@ -310,7 +312,7 @@
         let now = core.now();
         let waited = now.since(self.request.arrived_at);
         self.log
-            .add_step(now, format_args!("the first event goes out"));
+            .add_step(now, format_args!("the first event is forwarded"));
         core.time(metric::GATEWAY_FIRST_EVENT, waited);
     }
 
--- a/crates/cranberrygap-entry/src/gateway/delivery/target.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/target.rs
@@ -113,7 +113,9 @@
                 .call(method::ADAPTER_WANT, &request, ADAPTER_REQUEST_TIMEOUT)
                 .await;
             if let Err(cause) = result {
-                spdlog::debug!("gateway: the leader was not told of a missing adapter: {cause}");
+                spdlog::debug!(
+                    "gateway: reporting a missing adapter to the leader failed: {cause}"
+                );
             }
         });
     }
@@ -247,7 +249,7 @@
         let (running, cause) = (choice.running, failure.cause());
         self.log.add_step(
             now,
-            format_args!("waits at {endpoint}, where {running} run: {cause}"),
+            format_args!("waits for {endpoint}, which runs {running} requests: {cause}"),
         );
     }
 
@@ -256,12 +258,12 @@
         self.log.add_step(
             now,
             format_args!(
-                "chooses {}, {}ms of prompts wait there, {} tokens to read, first event in {}ms, adapter {}",
+                "chooses {}, {}ms of prompts queued there, {} tokens to read, first event in {}ms, adapter {}",
                 choice.destination.endpoint,
                 choice.queued_prefill.0 / 1_000,
                 choice.uncached_tokens,
                 choice.time_to_first_event.0 / 1_000,
-                if choice.has_adapter { "there" } else { "missing" },
+                if choice.has_adapter { "loaded" } else { "missing" },
             ),
         );
     }
@@ -460,7 +462,9 @@
         let endpoint = match result {
             Ok(placed) => placed.endpoint,
             Err(cause) => {
-                spdlog::info!("gateway: the leader gives no adapter {model}/{adapter}: {cause}");
+                spdlog::info!(
+                    "gateway: requesting adapter {model}/{adapter} from the leader failed: {cause}"
+                );
                 None
             }
         };
@@ -476,7 +480,7 @@
             .endpoints
             .choose_engine(core.now(), &self.query(model, true, false));
         let choice = choice.ok_or_else(|| {
-            self.no_endpoint_failure(NO_CAPACITY_RETRY_AFTER, "the adapter is not there")
+            self.no_endpoint_failure(NO_CAPACITY_RETRY_AFTER, "no engine holds the adapter")
         })?;
         self.check_overload(&choice, false)?;
         Ok(choice.destination)
--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -235,7 +235,7 @@
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
-                reason = "a part of one, times a small number"
+                reason = "a share of one, times a small number"
             )]
             let failure_penalty = (state.failures.rate(now) * FAILURE_PENALTY_REQUESTS) as u32;
             let tie_breaker = memory::affinity(now.0, &state.endpoint);
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -130,7 +130,7 @@
 
     fn handle_datagram(&self, from: std::net::SocketAddr, bytes: &[u8]) {
         let Ok(message) = postcard::from_bytes::<Message>(bytes) else {
-            spdlog::debug!("gateway: a datagram of {from} cannot be understood; dropped");
+            spdlog::debug!("gateway: dropped a malformed datagram from {from}");
             return;
         };
         let now = self.core.now();
--- a/crates/cranberrygap-entry/src/gateway/listener.rs
+++ b/crates/cranberrygap-entry/src/gateway/listener.rs
@@ -97,7 +97,7 @@
             continue;
         };
         if open_connections.load(Ordering::Acquire) >= MAX_CONNECTIONS {
-            spdlog::warn!("gateway: too many connections, one was refused");
+            spdlog::warn!("gateway: refused a connection, too many are open");
             continue;
         }
         let guard = Guard::new(&open_connections);
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -280,7 +280,7 @@
     const NOTICEABLE_WAIT: duration::Span = duration::Span::from_millis(20);
     let now = gateway.core.now();
     if now.since(received.arrived_at) > NOTICEABLE_WAIT {
-        log.add_step(now, format_args!("its body and tokens are there"));
+        log.add_step(now, format_args!("its body and tokens are received"));
     }
 }
 
@@ -305,7 +305,7 @@
     body: Bytes,
     metadata: dialect::Metadata,
 ) -> Result<Request, Failure> {
-    let host = host(&head).ok_or_else(|| Failure::Malformed("there is no host".into()))?;
+    let host = host(&head).ok_or_else(|| Failure::Malformed("the host is missing".into()))?;
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let model = metadata.model.as_ref().map_or("", id::Model::as_str);
--- a/crates/cranberrygap-entry/src/gateway/stream.rs
+++ b/crates/cranberrygap-entry/src/gateway/stream.rs
@@ -94,8 +94,11 @@
                     return None;
                 }
                 Ok(None) => {
-                    if !self.continue_elsewhere("it ended within an event").await {
-                        return Some(Err(self.interrupt("it ended within an event")));
+                    if !self
+                        .continue_elsewhere("the stream ended within an event")
+                        .await
+                    {
+                        return Some(Err(self.interrupt("the stream ended within an event")));
                     }
                 }
                 Ok(Some(Err(_broken))) => {
@@ -196,7 +199,7 @@
             return false;
         };
         let now = self.delivery.gateway.core.now();
-        let resumed = format_args!("another engine goes on with the stream: {cause}");
+        let resumed = format_args!("another engine continues the stream: {cause}");
         self.delivery.log.add_step(now, resumed);
         self.splitter = Some(sse::Splitter::default());
         self.upstream = Some(Upstream {
