--- a/crates/cranberrygap-entry/src/admission/stats.rs
+++ b/crates/cranberrygap-entry/src/admission/stats.rs
@@ -114,7 +114,7 @@
 
 const fn reason_label(reason: holder::Reason) -> &'static str {
     match reason {
-        holder::Reason::Period => "periodic",
+        holder::Reason::Period => "by period",
         holder::Reason::Shortage => "for shortage",
         holder::Reason::Confirmation => "for confirmation",
         holder::Reason::Silence => "after no answer",
--- a/crates/cranberrygap-entry/src/gateway/delivery/target.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/target.rs
@@ -263,7 +263,7 @@
                 choice.queued_prefill.0 / 1_000,
                 choice.uncached_tokens,
                 choice.time_to_first_event.0 / 1_000,
-                if choice.has_adapter { "loaded" } else { "missing" },
+                if choice.has_adapter { "there" } else { "missing" },
             ),
         );
     }
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -39,8 +39,7 @@
     #[serde(rename = "All")]
     Backlogs {
         sequence: u64,
-        #[serde(rename = "tallies")]
-        backlogs: Vec<(u32, tally::Tally)>,
+        tallies: Vec<(u32, tally::Tally)>,
     },
     /// Prompts that the entry has just sent.
     #[serde(rename = "Sent")]
@@ -83,15 +82,15 @@
             tokio::select! {
                 _ = ticker.tick() => {
                     sequence += 1;
-                    let mut backlogs = self.core.endpoints.own_backlogs();
-                    backlogs.truncate(MAX_ENGINES_PER_MESSAGE);
+                    let mut tallies = self.core.endpoints.own_backlogs();
+                    tallies.truncate(MAX_ENGINES_PER_MESSAGE);
                     // An empty backlog stays valid until the next change, so it is sent
                     // only once.
-                    if backlogs.is_empty() && sent_empty {
+                    if tallies.is_empty() && sent_empty {
                         continue;
                     }
-                    sent_empty = backlogs.is_empty();
-                    self.send(&Message::Backlogs { sequence, backlogs }, usize::MAX).await;
+                    sent_empty = tallies.is_empty();
+                    self.send(&Message::Backlogs { sequence, tallies }, usize::MAX).await;
                 }
                 mut notices = self.core.endpoints.next_notices() => {
                     notices.truncate(MAX_ENGINES_PER_MESSAGE);
@@ -137,8 +136,8 @@
         let from = address::Socket(from);
         let endpoints = &self.core.endpoints;
         match message {
-            Message::Backlogs { sequence, backlogs } => {
-                endpoints.apply_backlogs(now, from, sequence, backlogs)
+            Message::Backlogs { sequence, tallies } => {
+                endpoints.apply_backlogs(now, from, sequence, tallies);
             }
             Message::Prompts(notices) => endpoints.apply_notices(now, from, &notices),
         }
