--- a/crates/cranberrygap-bench/src/soak/view/duties.rs
+++ b/crates/cranberrygap-bench/src/soak/view/duties.rs
@@ -1,7 +1,7 @@
 //! What a control process does beside the protocol: leases, views, acknowledgements.
 
 use cranberrygap_agreement::{formation, input};
-use cranberrygap_control::{gather, leadership};
+use cranberrygap_control::{delta, leadership};
 use cranberrygap_model::{duration, id};
 use cranberrygap_state::command;
 use cranberrygap_wire::view;
@@ -78,22 +78,23 @@
         running
             .subscribers
             .retain(|subscriber| subscriber.entry != entry);
-        let packet = if running.fleet.seen < wanted.revision || running.node.leader().is_none() {
-            Packet::Refused { call }
-        } else {
-            let gap = false;
-            let mut gather = gather::Gather::default();
-            gather.clear(clock);
-            let subscriber = Subscriber {
-                entry,
-                call,
-                gap,
-                gather,
+        let packet =
+            if running.fleet.view_revision < wanted.revision || running.node.leader().is_none() {
+                Packet::Refused { call }
+            } else {
+                let gap = false;
+                let mut gather = delta::Buffer::default();
+                gather.reset(clock);
+                let subscriber = Subscriber {
+                    entry,
+                    call,
+                    gap,
+                    gather,
+                };
+                running.subscribers.push(subscriber);
+                let frame = Box::new(running.snapshot());
+                Packet::Frame { call, frame }
             };
-            running.subscribers.push(subscriber);
-            let frame = Box::new(running.snapshot());
-            Packet::Frame { call, frame }
-        };
         self.send(Place::Control(place), Place::Entry(entry), packet);
     }
 
@@ -161,7 +162,7 @@
                 continue;
             };
             let mut confirmed = view::Confirmed {
-                lease: office.confirm(clock, &one.confirm),
+                lease: office.grant_lease(clock, &one.confirm),
                 revision,
                 term,
             };
@@ -196,21 +197,21 @@
         let mut frames = Vec::new();
         let owed = !hung && running.subscribers.iter().any(|follower| follower.gap);
         let snapshot = owed.then(|| running.snapshot());
-        let revision = running.fleet.seen;
+        let revision = running.fleet.view_revision;
         let beats = now >= running.next_heartbeat;
         for subscriber in &mut running.subscribers {
             if let Some(snapshot) = snapshot.as_ref().filter(|_| subscriber.gap) {
                 subscriber.gap = false;
-                subscriber.gather.clear(clock);
+                subscriber.gather.reset(clock);
                 frames.push(subscriber.frame(snapshot.clone()));
             } else if !hung
                 && subscriber
                     .gather
-                    .due(followers)
+                    .next_due(followers)
                     .is_some_and(|due| due <= clock)
             {
-                let frame = subscriber.gather.frame(clock);
-                frames.extend(frame.map(|delta| subscriber.frame(delta.frame())));
+                let frame = subscriber.gather.take_delta(clock);
+                frames.extend(frame.map(|delta| subscriber.frame(delta.to_frame())));
             } else if beats {
                 frames.push(subscriber.frame(view::Frame::Heartbeat { revision }));
             }
@@ -247,7 +248,7 @@
             let office = running.office.as_mut();
             let settled = match (one.revision, office) {
                 (Some(_), _) if flaw == Flaw::AcknowledgedAtCommit => true,
-                (Some(revision), Some(office)) => office.acknowledge(clock, revision, fleet),
+                (Some(revision), Some(office)) => office.try_acknowledge(clock, revision, fleet),
                 _ => false,
             };
             if settled || flaw == Flaw::AcknowledgedBeforeQuorum {
--- a/crates/cranberrygap-control/src/confirmation.rs
+++ b/crates/cranberrygap-control/src/confirmation.rs
@@ -65,7 +65,7 @@
         let status = self.proposer.check_leads()?;
         let grant = || {
             self.detector
-                .with_office(|now, leadership| leadership.confirm(now, confirm))
+                .with_office(|now, leadership| leadership.grant_lease(now, confirm))
         };
         let lease = self.metrics.work(metric::Work::Lease, grant);
         let Some(lease) = lease else {
@@ -96,7 +96,7 @@
         let boot = confirm.boot;
         if !self
             .state
-            .read(|fleet| fleet.members.is_news(&member, boot))
+            .read(|fleet| fleet.members.would_change(&member, boot))
         {
             return Ok(());
         }
--- a/crates/cranberrygap-entry/src/admission.rs
+++ b/crates/cranberrygap-entry/src/admission.rs
@@ -51,7 +51,7 @@
         &'call self,
         workspace: &'call id::Workspace,
         tokens: token::Count,
-        max_wait: holder::Patience,
+        max_wait: holder::MaxWait,
     ) -> BoxFuture<'call, Result<holder::Reservation, Rejection>>;
     /// Closes a reservation and returns its unused tokens.
     fn close_reservation(&self, reservation: &holder::Reservation, used: token::Count);
--- a/crates/cranberrygap-entry/src/admission/permit.rs
+++ b/crates/cranberrygap-entry/src/admission/permit.rs
@@ -29,7 +29,7 @@
         workspace: &id::Workspace,
         tokens: token::Count,
     ) -> Result<Self, Refusal> {
-        let max_wait = holder::Patience::of(MAX_TOKEN_WAIT);
+        let max_wait = holder::MaxWait::uniform(MAX_TOKEN_WAIT);
         let result = Self::reserve_with_max_wait(limiter, workspace, tokens, max_wait).await;
         result.map_err(|rejection| to_refusal(rejection, tokens))
     }
@@ -39,7 +39,7 @@
         limiter: &Arc<dyn Limiter>,
         workspace: &id::Workspace,
         tokens: token::Count,
-        max_wait: holder::Patience,
+        max_wait: holder::MaxWait,
     ) -> Result<Self, Rejection> {
         let reservation = limiter.reserve(workspace, tokens, max_wait).await?;
         Ok(Self {
--- a/crates/cranberrygap-entry/src/admission/shares.rs
+++ b/crates/cranberrygap-entry/src/admission/shares.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct Inner {
     holder: holder::Holder,
-    lender: lending::Lending,
+    lender: lending::Lender,
     instance: id::Instance,
     /// Addresses at which entries lend.
     lender_addresses: BTreeMap<id::Instance, address::Socket>,
@@ -74,7 +74,7 @@
         let own_workspaces: Vec<id::Workspace> = own_workspaces
             .map(|(workspace, _)| workspace.clone())
             .collect();
-        self.lender.follow(now, &own_workspaces);
+        self.lender.set_workspaces(now, &own_workspaces);
     }
 }
 
@@ -90,7 +90,7 @@
     fn drop(&mut self) {
         let mut inner = self.shares.inner.lock();
         if inner.waiters.remove(&self.ticket).is_some() {
-            inner.holder.abandon(self.ticket);
+            inner.holder.cancel(self.ticket);
         }
     }
 }
@@ -102,7 +102,7 @@
             clock,
             inner: Mutex::new(Inner {
                 instance: instance.clone(),
-                lender: lending::Lending::new(instance.clone(), boot),
+                lender: lending::Lender::new(instance.clone(), boot),
                 holder: holder::Holder::new(instance, boot),
                 lender_addresses: BTreeMap::new(),
                 waiters: BTreeMap::new(),
@@ -122,7 +122,7 @@
             if let Some(line) = self.inner.lock().stats.summary_line(self.clock.now()) {
                 spdlog::info!("limits: {line}");
             }
-            if self.inner.lock().holder.due() <= self.clock.now() {
+            if self.inner.lock().holder.next_renewal_at() <= self.clock.now() {
                 self.renew(&core).await;
             }
         }
@@ -131,33 +131,33 @@
     /// Renews the shares that this entry lends until the process stops.
     pub(crate) async fn run_lending(self: Arc<Self>, core: Arc<core::Core>) {
         loop {
-            let due = self.inner.lock().lender.due();
+            let due = self.inner.lock().lender.next_renewal_at();
             let sleep = due.since(self.clock.now()).min(MAX_SLEEP);
             tokio::select! {
                 () = tokio::time::sleep(sleep.to_std()) => {}
                 () = self.lending_wake.notified() => {}
             }
-            if self.inner.lock().lender.due() <= self.clock.now() {
+            if self.inner.lock().lender.next_renewal_at() <= self.clock.now() {
                 self.renew_lent_shares(&core).await;
             }
         }
     }
 
     async fn renew_lent_shares(&self, core: &core::Core) {
-        let renewal = self.inner.lock().lender.renew(self.clock.now());
+        let renewal = self.inner.lock().lender.begin_renewal(self.clock.now());
         let result = core
             .leader
-            .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, lending::PATIENCE)
+            .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, lending::ANSWER_TIMEOUT)
             .await;
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         match result {
             Ok(granted) => {
-                inner.lender.granted(now, &granted);
+                inner.lender.apply_grants(now, &granted);
             }
             Err(cause) => {
                 spdlog::debug!("limits: renewing the lent shares failed: {cause}");
-                inner.lender.failed(renewal.sequence);
+                inner.lender.fail_renewal(renewal.sequence);
             }
         }
     }
@@ -179,7 +179,7 @@
 
     /// Waits until a loan request may be due.
     pub(super) async fn wait_for_borrowing(&self) {
-        let due = self.inner.lock().holder.asks_at();
+        let due = self.inner.lock().holder.next_loan_request_at();
         let sleep = due.map_or(MAX_SLEEP, |due| due.since(self.clock.now()).min(MAX_SLEEP));
         tokio::select! {
             () = tokio::time::sleep(sleep.to_std()) => {}
@@ -197,11 +197,11 @@
         let now = self.clock.now();
         let mut outgoing = Vec::new();
         let mut inner = self.inner.lock();
-        for (lender, request) in inner.holder.ask(now) {
+        for (lender, request) in inner.holder.due_loan_requests(now) {
             if lender == *own_instance {
                 let loan = inner.lender.answer(now, &request);
                 if let Some(loan) = loan {
-                    inner.holder.lent(now, own_instance, &loan);
+                    inner.holder.apply_loans(now, own_instance, &loan);
                 }
                 continue;
             }
@@ -238,7 +238,7 @@
         let Some(lender) = lender.map(|(lender, _)| lender.clone()) else {
             return;
         };
-        inner.holder.lent(now, &lender, loan);
+        inner.holder.apply_loans(now, &lender, loan);
         drop(inner);
         self.deliver_decisions();
     }
@@ -247,7 +247,10 @@
     async fn wait_for_renewal(&self) {
         let (due, wake) = {
             let inner = self.inner.lock();
-            (inner.holder.due(), inner.holder.wake())
+            (
+                inner.holder.next_renewal_at(),
+                inner.holder.next_decision_at(),
+            )
         };
         let until = wake.map_or(due, |wake| due.min(wake));
         let sleep = until.since(self.clock.now()).min(MAX_SLEEP);
@@ -262,16 +265,16 @@
         let started = self.clock.now();
         let renewal = {
             let mut inner = self.inner.lock();
-            let reason = inner.holder.reason();
+            let reason = inner.holder.renewal_reason();
             inner.stats.record_renewal(reason);
-            inner.holder.renew(started)
+            inner.holder.begin_renewal(started)
         };
         let call =
             core.leader
                 .call::<_, share::Granted>(method::SHARE_RENEW, &renewal, RENEWAL_TIMEOUT);
         tokio::pin!(call);
         let result = loop {
-            let wake = self.inner.lock().holder.wake();
+            let wake = self.inner.lock().holder.next_decision_at();
             let sleep = wake.map_or(RENEWAL_TIMEOUT, |wake| wake.since(self.clock.now()));
             tokio::select! {
                 result = &mut call => break result,
@@ -286,9 +289,9 @@
                 .record_answer(now.since(started), result.is_ok());
             match result {
                 Ok(granted) => {
-                    inner.holder.granted(now, &granted);
+                    inner.holder.apply_grants(now, &granted);
                 }
-                Err(_cause) => inner.holder.failed(renewal.sequence),
+                Err(_cause) => inner.holder.fail_renewal(renewal.sequence),
             }
         }
         self.deliver_decisions();
@@ -304,7 +307,9 @@
             };
             // The caller has left meanwhile, so nothing was used.
             if let Err(holder::Decision::Admitted(unused)) = waiter.send(decision) {
-                inner.holder.settle(now, &unused, token::Count(0));
+                inner
+                    .holder
+                    .close_reservation(now, &unused, token::Count(0));
             }
         }
     }
@@ -332,7 +337,7 @@
         &self,
         workspace: &id::Workspace,
         tokens: token::Count,
-        max_wait: holder::Patience,
+        max_wait: holder::MaxWait,
     ) -> Result<holder::Reservation, Rejection> {
         let burst = self
             .inner
@@ -348,11 +353,11 @@
             let now = started;
             let mut inner = self.inner.lock();
             match inner.holder.admit(now, workspace, tokens, max_wait) {
-                holder::Verdict::Admitted(reservation) => {
+                holder::Admission::Admitted(reservation) => {
                     inner.stats.record_admitted_at_once();
                     return Ok(reservation);
                 }
-                holder::Verdict::Waiting(ticket) => {
+                holder::Admission::Queued(ticket) => {
                     let (sender, decision) = oneshot::channel();
                     inner.waiters.insert(ticket, sender);
                     (ticket, decision)
@@ -383,14 +388,17 @@
         &'call self,
         workspace: &'call id::Workspace,
         tokens: token::Count,
-        max_wait: holder::Patience,
+        max_wait: holder::MaxWait,
     ) -> BoxFuture<'call, Result<holder::Reservation, Rejection>> {
         Box::pin(self.reserve_tokens(workspace, tokens, max_wait))
     }
 
     fn close_reservation(&self, reservation: &holder::Reservation, used: token::Count) {
         let now = self.clock.now();
-        self.inner.lock().holder.settle(now, reservation, used);
+        self.inner
+            .lock()
+            .holder
+            .close_reservation(now, reservation, used);
     }
 
     fn apply_view(&self, view: &view::Snapshot) {
@@ -417,8 +425,8 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         inner.limits = limits.chain(planned).collect();
-        inner.holder.set_entries(view.entries());
-        inner.lender.set_entries(view.entries());
+        inner.holder.set_entry_count(view.entries());
+        inner.lender.set_entry_count(view.entries());
         inner.update_lenders(now, view);
         drop(inner);
         self.lending_wake.notify_one();
--- a/crates/cranberrygap-entry/src/admission/stats.rs
+++ b/crates/cranberrygap-entry/src/admission/stats.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Stats {
     period_start: duration::Instant,
-    renewals: BTreeMap<holder::Reason, u64>,
+    renewals: BTreeMap<holder::RenewalReason, u64>,
     unanswered_renewals: u64,
     renewal_times: Durations,
     admitted_waits: Durations,
@@ -30,7 +30,7 @@
 
 impl Stats {
     /// Counts a renewal that is sent.
-    pub(super) fn record_renewal(&mut self, reason: holder::Reason) {
+    pub(super) fn record_renewal(&mut self, reason: holder::RenewalReason) {
         *self.renewals.entry(reason).or_default() += 1;
     }
 
@@ -112,11 +112,11 @@
     }
 }
 
-const fn reason_label(reason: holder::Reason) -> &'static str {
+const fn reason_label(reason: holder::RenewalReason) -> &'static str {
     match reason {
-        holder::Reason::Period => "by period",
-        holder::Reason::Shortage => "for shortage",
-        holder::Reason::Confirmation => "for confirmation",
-        holder::Reason::Silence => "after no answer",
+        holder::RenewalReason::Interval => "by period",
+        holder::RenewalReason::Shortage => "for shortage",
+        holder::RenewalReason::Confirmation => "for confirmation",
+        holder::RenewalReason::NoAnswer => "after no answer",
     }
 }
--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -5,7 +5,7 @@
 
 use cranberrygap_model::{address, duration};
 use cranberrygap_policy::outcome::Evidence;
-use cranberrygap_policy::quarantine::watch;
+use cranberrygap_policy::quarantine::suspects;
 use cranberrygap_trace::note;
 use cranberrygap_wire::{claim, endpoint, method};
 use smol_str::SmolStr;
@@ -37,8 +37,8 @@
 }
 
 /// The boot of the endpoint that the request was sent to.
-pub(super) fn incarnation(destination: &route::Destination) -> watch::Place {
-    watch::Place {
+pub(super) fn incarnation(destination: &route::Destination) -> suspects::Incarnation {
+    suspects::Incarnation {
         endpoint: destination.endpoint.clone(),
         boot: destination.boot,
     }
@@ -92,11 +92,11 @@
     pub(crate) fn record_complete(&mut self) {
         let incarnation = incarnation(&self.destination);
         let fingerprint = self.fingerprint.clone();
-        let cleared = self
-            .core
-            .watch
-            .lock()
-            .ended(&incarnation, self.registration_id, true);
+        let cleared =
+            self.core
+                .watch
+                .lock()
+                .finish_request(&incarnation, self.registration_id, true);
         if cleared {
             let message = claim::Crash {
                 cleared: vec![fingerprint],
@@ -126,22 +126,26 @@
             self.core
                 .watch
                 .lock()
-                .ended(&incarnation, self.registration_id, false);
+                .finish_request(&incarnation, self.registration_id, false);
         }
         if !self.core.watch.lock().is_dead(&incarnation) && !self.is_dead().await {
             return false;
         }
-        let crash = self.core.watch.lock().died(self.core.now(), &incarnation);
+        let crash = self
+            .core
+            .watch
+            .lock()
+            .record_death(self.core.now(), &incarnation);
         if let Some(crash) = crash {
             warn!(
                 "quarantine: {} died while it ran {} requests of this entry",
-                crash.place.endpoint,
+                crash.incarnation.endpoint,
                 crash.fingerprints.len()
             );
             let message = claim::Crash {
                 fingerprints: crash.fingerprints,
                 probed: crash.probed,
-                ..self.crash_message(crash.place)
+                ..self.crash_message(crash.incarnation)
             };
             report(&self.core, &message).await;
         }
@@ -174,7 +178,7 @@
         report.is_ok_and(|report| report.boot != self.destination.boot)
     }
 
-    fn crash_message(&self, incarnation: watch::Place) -> claim::Crash {
+    fn crash_message(&self, incarnation: suspects::Incarnation) -> claim::Crash {
         claim::Crash {
             endpoint: incarnation.endpoint,
             boot: incarnation.boot,
@@ -213,7 +217,7 @@
         self.core
             .watch
             .lock()
-            .ended(&incarnation, self.registration_id, false);
+            .finish_request(&incarnation, self.registration_id, false);
         self.core
             .router
             .record_ended(self.core.now(), &self.destination, self.failed);
--- a/crates/cranberrygap-entry/src/engine/delivery.rs
+++ b/crates/cranberrygap-entry/src/engine/delivery.rs
@@ -51,7 +51,7 @@
         if let Some(view) = core.view.latest() {
             budget.set_share(view.defaults().retry_share);
         }
-        budget.request();
+        budget.record_request();
         drop(budget);
         Self {
             core: Arc::clone(core),
@@ -117,11 +117,11 @@
     ) -> Result<(), Refusal> {
         self.crashes += u32::from(attempt.record_failure(evidence).await);
         drop(attempt);
-        let outcome = Outcome::of(evidence);
+        let outcome = Outcome::from_evidence(evidence);
         self.outcome = if self.attempts <= 1 {
             outcome
         } else {
-            self.outcome.and_then(outcome)
+            self.outcome.combined_with(outcome)
         };
         self.check_quarantine()?;
         if self.crashes >= MAX_CRASHES {
@@ -129,7 +129,7 @@
         }
         let retry_attempt = retry::Attempt {
             class: retry::Class::Idempotent,
-            number: self.attempts,
+            dispatches: self.attempts,
             outcome: self.outcome,
             deadline: self.request.deadline,
         };
@@ -140,7 +140,7 @@
             .lock()
             .decide(now, retry_attempt, &mut rand::rng());
         match decision {
-            retry::Decision::Again(wait) => {
+            retry::Decision::Retry(wait) => {
                 tokio::time::sleep(wait.to_std()).await;
                 Ok(())
             }
@@ -155,7 +155,7 @@
             };
         }
         match reason {
-            retry::Reason::Deadline => Refusal::DeadlineExceeded,
+            retry::Reason::DeadlineExceeded => Refusal::DeadlineExceeded,
             _ => Refusal::EndpointFailed,
         }
     }
@@ -181,7 +181,7 @@
             let now = self.core.now();
             self.core.router.record_ended(now, &destination, false);
             if self.remaining() <= SUSPECT_POLL_INTERVAL {
-                return Err(self.refusal(retry::Reason::Deadline));
+                return Err(self.refusal(retry::Reason::DeadlineExceeded));
             }
             if self.is_every_engine_tried() {
                 tokio::time::sleep(SUSPECT_POLL_INTERVAL.to_std()).await;
@@ -196,7 +196,7 @@
         let fingerprint = &self.request.fingerprint;
         let (id, is_suspect) = {
             let mut watch = self.core.watch.lock();
-            let registered = watch.start(now, &incarnation, fingerprint);
+            let registered = watch.start_request(now, &incarnation, fingerprint);
             (registered.ok()?, watch.is_suspect(now, fingerprint))
         };
         if !is_suspect {
@@ -206,7 +206,10 @@
         let permission =
             permission::Permission::acquire(&self.core, &incarnation, fingerprint).await;
         if permission.is_none() {
-            self.core.watch.lock().ended(&incarnation, id, false);
+            self.core
+                .watch
+                .lock()
+                .finish_request(&incarnation, id, false);
             return None;
         }
         Some(attempt::Registration { id, permission })
@@ -231,7 +234,7 @@
         // No other engine holds the model; the same one may answer on a new connection.
         self.tried.clear();
         let destination = self.ask_router();
-        destination.ok_or_else(|| self.refusal(retry::Reason::Attempts))
+        destination.ok_or_else(|| self.refusal(retry::Reason::AttemptsExhausted))
     }
 
     fn ask_router(&self) -> Option<route::Destination> {
--- a/crates/cranberrygap-entry/src/engine/permission.rs
+++ b/crates/cranberrygap-entry/src/engine/permission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranberrygap_model::duration;
-use cranberrygap_policy::quarantine::{probe, watch};
+use cranberrygap_policy::quarantine::{permission, suspects};
 use cranberrygap_wire::{claim, method};
 use smol_str::SmolStr;
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct Permission {
     core: Arc<core::Core>,
-    incarnation: watch::Place,
+    incarnation: suspects::Incarnation,
     fingerprint: SmolStr,
     renewal_task: tokio::task::JoinHandle<()>,
 }
@@ -30,7 +30,7 @@
     /// when no leader answers.
     pub(super) async fn acquire(
         core: &Arc<core::Core>,
-        incarnation: &watch::Place,
+        incarnation: &suspects::Incarnation,
         fingerprint: &SmolStr,
     ) -> Option<Self> {
         if !renew(core, incarnation, fingerprint).await {
@@ -61,7 +61,7 @@
         self.core
             .watch
             .lock()
-            .release(&self.incarnation, &self.fingerprint);
+            .release_permission(&self.incarnation, &self.fingerprint);
         let core = Arc::clone(&self.core);
         let message = message(&core, &self.incarnation, &self.fingerprint, true);
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
@@ -71,12 +71,18 @@
 }
 
 /// Asks the leader once; the lease runs from the time of sending.
-async fn renew(core: &core::Core, incarnation: &watch::Place, fingerprint: &SmolStr) -> bool {
+async fn renew(
+    core: &core::Core,
+    incarnation: &suspects::Incarnation,
+    fingerprint: &SmolStr,
+) -> bool {
     let sent_at = core.now();
     let is_granted = call(core, &message(core, incarnation, fingerprint, false)).await;
     if is_granted {
-        let until = sent_at.after(probe::LEASE);
-        core.watch.lock().lease(incarnation, fingerprint, until);
+        let until = sent_at.after(permission::LEASE_DURATION);
+        core.watch
+            .lock()
+            .hold_permission(incarnation, fingerprint, until);
     }
     is_granted
 }
@@ -91,7 +97,7 @@
 
 fn message(
     core: &core::Core,
-    incarnation: &watch::Place,
+    incarnation: &suspects::Incarnation,
     fingerprint: &SmolStr,
     ends: bool,
 ) -> claim::Leave {
--- a/crates/cranberrygap-entry/src/gateway.rs
+++ b/crates/cranberrygap-entry/src/gateway.rs
@@ -27,7 +27,7 @@
 
 use std::sync::Arc;
 
-use cranberrygap_policy::reserve;
+use cranberrygap_policy::resend;
 use parking_lot::Mutex;
 
 use crate::core;
@@ -38,7 +38,7 @@
     pub(crate) core: Arc<core::Core>,
     pub(crate) dialect: Arc<dyn dialect::Dialect>,
     pub(crate) pool: pool::Pool,
-    pub(crate) resend_budget: Mutex<reserve::Reserve>,
+    pub(crate) resend_budget: Mutex<resend::Budget>,
     pub(crate) log_limiter: log_limit::Limiter,
 }
 
--- a/crates/cranberrygap-entry/src/gateway/delivery.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery.rs
@@ -301,7 +301,7 @@
         self.adapter_use = adapter.and_then(|adapter| control::Use::new(core, &model, adapter));
         let tokens = self.request.metadata.tokens.unwrap_or_default();
         let latency = core.endpoints.latency(&self.resolution.service, &model);
-        let work = latency.work(tokens.prompt, tokens.output, self.resolution.slots);
+        let work = latency.engine_time(tokens.prompt, tokens.output, self.resolution.slots);
         core.demand.asked(&model, adapter, work);
         Some((model, work))
     }
--- a/crates/cranberrygap-entry/src/gateway/delivery/target.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/target.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::pace;
+use cranberrygap_routing::prompt::latency;
 use cranberrygap_wire::{method, traffic};
 use smol_str::SmolStr;
 
@@ -223,15 +223,17 @@
     /// before the deadline.
     fn latest_start(&self, model: &id::Model) -> duration::Instant {
         let latency = self.latency(model);
-        let first = latency.reading(self.prompt_tokens()).0 + latency.event().0 + TRANSFER_MARGIN.0;
-        let whole = first + latency.answer(self.max_output_tokens()).0;
+        let first = latency.prefill_time(self.prompt_tokens()).0
+            + latency.event_interval().0
+            + TRANSFER_MARGIN.0;
+        let whole = first + latency.answer_time(self.max_output_tokens()).0;
         let silence_deadline = self.request.silence_deadline(&self.resolution.route).0;
         let first = silence_deadline.saturating_sub(first);
         let whole = self.deadline().0.saturating_sub(whole);
         duration::Instant(first.min(whole))
     }
 
-    fn latency(&self, model: &id::Model) -> pace::Pace {
+    fn latency(&self, model: &id::Model) -> latency::Estimate {
         let endpoints = &self.gateway.core.endpoints;
         endpoints.latency(&self.resolution.service, model)
     }
@@ -342,7 +344,7 @@
     }
 
     /// Prefill time that an engine may get within the pause that its streams allow.
-    fn prefill_budget(&self, latency: &pace::Pace, late: bool) -> duration::Span {
+    fn prefill_budget(&self, latency: &latency::Estimate, late: bool) -> duration::Span {
         const UNLIMITED: duration::Span = duration::Span(u64::MAX);
         let rank = self.resolution.rank().min(PREFILL_SHARE_OF_PAUSE.len() - 1);
         let share = if late {
@@ -350,7 +352,7 @@
         } else {
             PREFILL_SHARE_OF_PAUSE[rank]
         };
-        let event_time = latency.event();
+        let event_time = latency.event_interval();
         self.resolution.route.pause.map_or(UNLIMITED, |pause| {
             duration::Span(pause.scaled(share).0.saturating_sub(event_time.0))
         })
--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_routing::prompt::{engine, memory, pace, tally};
+use cranberrygap_routing::prompt::{backlog, latency, prefix_cache, selection};
 use cranberrygap_wire::view as wire_view;
 use parking_lot::Mutex;
 use smallvec::SmallVec;
@@ -48,14 +48,14 @@
     pub service: &'request id::Service,
     pub model: &'request id::Model,
     pub adapter: Option<&'request SmolStr>,
-    pub chain: &'request memory::Chain,
+    pub chain: &'request prefix_cache::Chain,
     pub rank: usize,
     pub prompt_tokens: u64,
     /// Prefill time that an engine may get within the last moments.
     pub prefill_budget: duration::Span,
     /// Prefill time beside which a large prompt may go although it does not fit.
     pub large_prompt_grace: duration::Span,
-    pub latency: pace::Pace,
+    pub latency: latency::Estimate,
     pub slots: u32,
     pub tried: &'request Tried,
     /// Whether only engines that hold the adapter are considered.
@@ -97,7 +97,7 @@
 pub(crate) struct Endpoints {
     domain: id::Domain,
     inner: Mutex<Inner>,
-    latencies: Mutex<pace::Paces>,
+    latencies: Mutex<latency::Estimator>,
     notices: notices::Outbox,
 }
 
@@ -115,7 +115,7 @@
 struct Announcement {
     received_at: duration::Instant,
     sequence: u64,
-    backlogs: BTreeMap<u32, tally::Tally>,
+    backlogs: BTreeMap<u32, backlog::Backlog>,
 }
 
 impl Endpoints {
@@ -162,49 +162,49 @@
             .collect();
         let reachable_states = reachable(now, &usable);
         let home = session_home(query, &reachable_states);
-        let candidates = reachable_states.iter().map(|state| engine::Candidate {
+        let candidates = reachable_states.iter().map(|state| selection::Candidate {
             endpoint: &state.endpoint,
-            tally: inner.backlog(now, state),
-            recent: state.recent_prompts.reading(now),
-            kept: state.prefix_cache.kept(now, query.chain),
-            home: home == Some(&state.endpoint),
-            near: state.same_domain,
-            ready: has_adapter(state),
-            failing: state.failures.rate(now),
+            backlog: inner.backlog(now, state),
+            recent_prefill: state.recent_prompts.prefill_time(now),
+            cached_tokens: state.prefix_cache.cached_tokens(now, query.chain),
+            has_affinity: home == Some(&state.endpoint),
+            same_domain: state.same_domain,
+            has_adapter: has_adapter(state),
+            failure_rate: state.failures.rate(now),
         });
-        let request = engine::Wanted {
+        let request = selection::Request {
             rank: query.rank,
-            prompt: query.prompt_tokens,
-            shared: query.chain.shared_tokens(),
-            room: query.prefill_budget,
-            grace: query.large_prompt_grace,
-            pace: query.latency,
+            prompt_tokens: query.prompt_tokens,
+            shared_tokens: query.chain.shared_tokens(),
+            prefill_budget: query.prefill_budget,
+            large_prompt_grace: query.large_prompt_grace,
+            latency: query.latency,
             slots: query.slots,
-            far: REMOTE_PENALTY,
-            fetch: ADAPTER_PENALTY,
+            remote_penalty: REMOTE_PENALTY,
+            adapter_penalty: ADAPTER_PENALTY,
         };
-        let choice = engine::choose(&request, candidates)?;
+        let choice = selection::choose(&request, candidates)?;
         let state = inner.states.get(&choice.endpoint)?;
         Some(Choice {
             has_adapter: has_adapter(state),
             destination: state.destination(),
-            time_to_first_event: choice.first_event,
-            uncached_tokens: choice.fresh,
-            prefill_time: choice.reading,
-            queued_prefill: choice.backlog,
-            prefill_ahead: choice.before,
+            time_to_first_event: choice.time_to_first_event,
+            uncached_tokens: choice.uncached_tokens,
+            prefill_time: choice.prefill_time,
+            queued_prefill: choice.queued_prefill,
+            prefill_ahead: choice.prefill_ahead,
             running: choice.running,
             fits_budget: choice.fits(&request),
         })
     }
 
     /// Latency of requests for a model, as this entry observed it.
-    pub(crate) fn latency(&self, service: &id::Service, model: &id::Model) -> pace::Pace {
-        self.latencies.lock().of(service, model)
+    pub(crate) fn latency(&self, service: &id::Service, model: &id::Model) -> latency::Estimate {
+        self.latencies.lock().estimate(service, model)
     }
 
     /// Adds observations to the latency estimates.
-    pub(crate) fn observe_latency(&self, observe: impl FnOnce(&mut pace::Paces)) {
+    pub(crate) fn observe_latency(&self, observe: impl FnOnce(&mut latency::Estimator)) {
         observe(&mut self.latencies.lock());
     }
 
@@ -238,7 +238,7 @@
                 reason = "a share of one, times a small number"
             )]
             let failure_penalty = (state.failures.rate(now) * FAILURE_PENALTY_REQUESTS) as u32;
-            let tie_breaker = memory::affinity(now.0, &state.endpoint);
+            let tie_breaker = prefix_cache::affinity(now.0, &state.endpoint);
             (running + remote_penalty + failure_penalty, tie_breaker)
         });
         best.map(State::destination)
@@ -257,12 +257,12 @@
         destination: &Destination,
         rank: usize,
         prefill_micros: u32,
-        chain: Option<&memory::Chain>,
+        chain: Option<&prefix_cache::Chain>,
     ) {
         self.update_state(destination, |state| {
-            state.own_backlog.sent(rank, prefill_micros);
+            state.own_backlog.add(rank, prefill_micros);
             if let Some(chain) = chain {
-                state.prefix_cache.sent(now, chain);
+                state.prefix_cache.record_sent(now, chain);
             }
         });
     }
@@ -275,13 +275,13 @@
         prefill_micros: u32,
     ) {
         self.update_state(destination, |state| {
-            state.own_backlog.read(rank, prefill_micros);
+            state.own_backlog.finish_prefill(rank, prefill_micros);
         });
     }
 
     /// Records that a request ended.
     pub(crate) fn record_ended(&self, destination: &Destination) {
-        self.update_state(destination, |state| state.own_backlog.ended());
+        self.update_state(destination, |state| state.own_backlog.finish_request());
     }
 
     /// Records whether an endpoint responded as it should.
@@ -339,7 +339,7 @@
     }
 
     /// Backlog that this entry caused at each endpoint, for the other entries.
-    pub(crate) fn own_backlogs(&self) -> Vec<(u32, tally::Tally)> {
+    pub(crate) fn own_backlogs(&self) -> Vec<(u32, backlog::Backlog)> {
         let inner = self.inner.lock();
         let states = inner.states.values();
         let busy = states.filter(|state| !state.own_backlog.is_empty());
@@ -353,7 +353,7 @@
         now: duration::Instant,
         from: address::Socket,
         sequence: u64,
-        backlogs: Vec<(u32, tally::Tally)>,
+        backlogs: Vec<(u32, backlog::Backlog)>,
     ) {
         let mut inner = self.inner.lock();
         let previous = inner.other_entries.get(&from);
@@ -420,12 +420,12 @@
     }
 
     /// Backlog of an endpoint, caused by this entry and the others.
-    fn backlog(&self, now: duration::Instant, state: &State) -> tally::Tally {
+    fn backlog(&self, now: duration::Instant, state: &State) -> backlog::Backlog {
         let others = self.other_entries.values();
         let fresh =
             others.filter(|announcement| now.since(announcement.received_at) < MAX_BACKLOG_AGE);
         let theirs = fresh.filter_map(|announcement| announcement.backlogs.get(&state.name_hash));
-        theirs.fold(state.own_backlog, tally::Tally::and)
+        theirs.fold(state.own_backlog, backlog::Backlog::combined)
     }
 }
 
@@ -446,5 +446,5 @@
 ) -> Option<&'states id::Endpoint> {
     let session = query.chain.session()?;
     let names = states.iter().map(|state| &state.endpoint);
-    names.max_by_key(|name| memory::affinity(session, name))
+    names.max_by_key(|name| prefix_cache::affinity(session, name))
 }
--- a/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/notices.rs
@@ -49,7 +49,7 @@
         let Some(state) = inner.states.get_mut(&destination.endpoint) else {
             return;
         };
-        state.recent_prompts.sent(now, prefill_micros);
+        state.recent_prompts.record(now, prefill_micros);
         let name_hash = state.name_hash;
         drop(inner);
         if prefill_micros < MIN_NOTICE_PREFILL_MICROS {
@@ -87,12 +87,12 @@
         for notice in notices {
             let mut states = inner.states.values_mut();
             if let Some(state) = states.find(|state| state.name_hash == notice.name_hash) {
-                state.recent_prompts.sent(now, notice.prefill_micros);
+                state.recent_prompts.record(now, notice.prefill_micros);
             }
             // Counts until the other entry's next full backlog, which replaces it.
             if let Some(announcement) = inner.other_entries.get_mut(&from) {
                 let backlog = announcement.backlogs.entry(notice.name_hash).or_default();
-                backlog.sent(usize::from(notice.rank), notice.prefill_micros);
+                backlog.add(usize::from(notice.rank), notice.prefill_micros);
             }
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/endpoints/state.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use cranberrygap_model::{address, duration, id, number};
-use cranberrygap_routing::prompt::{memory, tally, window};
+use cranberrygap_routing::prompt::{backlog, prefix_cache, window};
 use cranberrygap_wire::{endpoint, view};
 use smol_str::SmolStr;
 
@@ -31,10 +31,10 @@
     pub models: BTreeSet<SmolStr>,
     pub adapters: BTreeSet<SmolStr>,
     pub retiring: Vec<id::Model>,
-    pub own_backlog: tally::Tally,
+    pub own_backlog: backlog::Backlog,
     /// Prompts that any entry sent there recently.
     pub recent_prompts: window::Window,
-    pub prefix_cache: memory::Memory,
+    pub prefix_cache: prefix_cache::Tracker,
     pub failures: Failures,
     pub unreachable_at: Option<duration::Instant>,
     pub name_hash: u32,
@@ -166,7 +166,7 @@
 /// A short hash of the endpoint's name, for messages between entries.
 fn name_hash(endpoint: &id::Endpoint) -> u32 {
     const SEED: u64 = 0;
-    let hash = memory::affinity(SEED, endpoint);
+    let hash = prefix_cache::affinity(SEED, endpoint);
     let [_, _, _, _, tail @ ..] = hash.to_be_bytes();
     u32::from_be_bytes(tail)
 }
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cranberrygap_model::address;
-use cranberrygap_routing::prompt::tally;
+use cranberrygap_routing::prompt::backlog;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 use tokio::time;
@@ -39,7 +39,7 @@
     #[serde(rename = "All")]
     Backlogs {
         sequence: u64,
-        tallies: Vec<(u32, tally::Tally)>,
+        tallies: Vec<(u32, backlog::Backlog)>,
     },
     /// Prompts that the entry has just sent.
     #[serde(rename = "Sent")]
--- a/crates/cranberrygap-entry/src/gateway/in_flight.rs
+++ b/crates/cranberrygap-entry/src/gateway/in_flight.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cranberrygap_model::{duration, id};
-use cranberrygap_routing::prompt::memory;
+use cranberrygap_routing::prompt::prefix_cache;
 
 use crate::core;
 
@@ -47,7 +47,7 @@
         core: &Arc<core::Core>,
         target: &delivery::Target,
         rank: usize,
-        chain: Option<&memory::Chain>,
+        chain: Option<&prefix_cache::Chain>,
     ) -> Self {
         let prefill_micros = u32::try_from(target.prefill_time.0).unwrap_or(u32::MAX);
         let sent_at = core.now();
@@ -78,14 +78,20 @@
                 let (prefill_ahead, uncached_tokens) =
                     (sample.prefill_ahead, sample.uncached_tokens);
                 let elapsed = now.since(self.sent_at);
-                self.core.endpoints.observe_latency(|paces| {
-                    paces.learn_first(service, model, prefill_ahead, uncached_tokens, elapsed);
+                self.core.endpoints.observe_latency(|estimator| {
+                    estimator.observe_first_event(
+                        service,
+                        model,
+                        prefill_ahead,
+                        uncached_tokens,
+                        elapsed,
+                    );
                 });
             }
         } else if let Some(pause) = pause {
-            self.core
-                .endpoints
-                .observe_latency(|paces| paces.learn_pause(service, model, pause));
+            self.core.endpoints.observe_latency(|estimator| {
+                estimator.observe_event_interval(service, model, pause)
+            });
         }
     }
 
@@ -93,8 +99,8 @@
     pub(crate) fn record_end(&self, now: duration::Instant) {
         if let (Some(sample), Some(first_event_at)) = (&self.latency_sample, self.first_event_at) {
             let elapsed = now.since(first_event_at);
-            self.core.endpoints.observe_latency(|paces| {
-                paces.learn_answer(
+            self.core.endpoints.observe_latency(|estimator| {
+                estimator.observe_answer(
                     &sample.service,
                     &sample.model,
                     sample.max_output_tokens,
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use cranberrygap_model::{duration, id, token};
 use cranberrygap_policy::limits::holder;
-use cranberrygap_routing::prompt::{memory, tally};
+use cranberrygap_routing::prompt::{backlog, prefix_cache};
 use cranberrygap_state::traffic as state;
 use cranberrygap_wire::traffic;
 use http::uri::PathAndQuery;
@@ -62,7 +62,7 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     pub metadata: dialect::Metadata,
-    pub chain: memory::Chain,
+    pub chain: prefix_cache::Chain,
     pub arrived_at: duration::Instant,
     /// Random number that selects a split of the route, the same for all attempts.
     pub split_draw: f64,
@@ -103,7 +103,7 @@
 
     /// Priority, limited to the ranks that the backlog of an endpoint has.
     pub(crate) fn rank(&self) -> usize {
-        (self.priority() as usize).min(tally::RANKS - 1)
+        (self.priority() as usize).min(backlog::RANKS - 1)
     }
 }
 
@@ -137,7 +137,7 @@
             return Ok(None);
         }
         let key = self.metadata.key.as_ref().ok_or(Failure::NoKey)?;
-        let key = state::hash(key);
+        let key = state::key_hash(key);
         let workspace = table.workspace(&key).ok_or(Failure::NoKey)?;
         Ok(Some(Workspace {
             name: workspace.workspace.clone(),
@@ -309,7 +309,8 @@
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let model = metadata.model.as_ref().map_or("", id::Model::as_str);
-    let chain = memory::Chain::new(model, metadata.adapter.as_deref(), &metadata.prompt_parts);
+    let chain =
+        prefix_cache::Chain::new(model, metadata.adapter.as_deref(), &metadata.prompt_parts);
     let mut headers = head.headers;
     response::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -387,8 +388,8 @@
         .silence_deadline(&resolution.route)
         .since(received.arrived_at);
     let objective = resolution.route.objective;
-    let max_wait = holder::Patience {
-        in_line: duration::Span(objective.0 / QUEUE_WAIT_DIVISOR).min(MAX_QUEUE_WAIT),
+    let max_wait = holder::MaxWait {
+        in_queue: duration::Span(objective.0 / QUEUE_WAIT_DIVISOR).min(MAX_QUEUE_WAIT),
         for_leader: duration::Span(silence_timeout.0 / LEADER_WAIT_DIVISOR),
     };
     let reserved =
--- a/crates/cranberrygap-entry/src/route/least_loaded.rs
+++ b/crates/cranberrygap-entry/src/route/least_loaded.rs
@@ -25,7 +25,7 @@
 const ASSUMED_TIME_LEFT: duration::Span = duration::Span::from_secs(1);
 
 /// A limit that no endpoint reaches: the emptiest endpoint takes the request.
-const UNLIMITED_FILL: router::Fill = router::Fill::UpTo(f64::MAX);
+const UNLIMITED_FILL: router::Fill = router::Fill::Spread(f64::MAX);
 
 /// Power of few choices over delayed reports, corrected by the requests sent since.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     /// The best endpoint with a free slot, or else the emptiest one.
     fn choose_best(&mut self, query: &Query<'_>, names: &[id::Endpoint]) -> Option<id::Endpoint> {
         let fill = match query.model {
-            Some(_) => router::Fill::UpTo(1.0),
+            Some(_) => router::Fill::Spread(1.0),
             None => UNLIMITED_FILL,
         };
         self.choose_with_fill(query, names, fill)
@@ -108,13 +108,13 @@
             placeholder = names.first()?.as_str().parse().ok()?;
             &placeholder
         };
-        let request = router::Question {
+        let request = router::Request {
             model,
-            prompt: &[],
-            left: ASSUMED_TIME_LEFT,
+            prompt_blocks: &[],
+            time_left: ASSUMED_TIME_LEFT,
             preferred: &[],
             fill,
-            spill: 0.0,
+            spill_fill: 0.0,
         };
         let residency = router::Residency::Resident(names);
         match self.router.choose(&mut self.rng, &request, &residency) {
@@ -164,7 +164,7 @@
             usable
         };
         let chosen = inner.choose_best(query, &names)?;
-        inner.router.sent(now, &chosen);
+        inner.router.record_sent(now, &chosen);
         inner.last_used_at.insert(chosen.clone(), now);
         let announcement = &inner.endpoints.get(&chosen)?.announcement;
         Some(Destination {
@@ -179,7 +179,7 @@
         if !inner.endpoints.contains_key(&destination.endpoint) {
             return;
         }
-        inner.router.ended(now, &destination.endpoint);
+        inner.router.record_ended(now, &destination.endpoint);
         if failed {
             inner.failed_at.insert(destination.endpoint.clone(), now);
         }
@@ -217,7 +217,7 @@
     fn apply_report(&self, now: duration::Instant, report: &endpoint::Report) {
         let mut inner = self.inner.lock();
         if inner.endpoints.contains_key(&report.endpoint) {
-            inner.router.reported(now, report);
+            inner.router.apply_report(now, report);
         }
     }
 
@@ -249,11 +249,11 @@
     fn dump(&self) -> serde_json::Value {
         let inner = self.inner.lock();
         let states = inner.endpoints.iter().map(|(name, endpoint)| {
-            let load = inner.router.known(name).map(|peer| &peer.load);
+            let load = inner.router.endpoint(name).map(|peer| &peer.load);
             let state = serde_json::json!({
                 "ready": is_ready(endpoint) && !inner.leaving.contains(name),
-                "in_flight": load.map(load::Load::own),
-                "requests": load.map(load::Load::requests),
+                "in_flight": load.map(load::Estimate::own_requests),
+                "requests": load.map(load::Estimate::requests),
             });
             (name.to_string(), state)
         });
--- a/crates/cranberrygap/src/local.rs
+++ b/crates/cranberrygap/src/local.rs
@@ -157,7 +157,7 @@
     /// Where operators of this instance connect; no token is needed.
     #[must_use]
     pub fn admin(&self) -> address::Socket {
-        self.control.admin()
+        self.control.admin_address()
     }
 
     /// Secret of the callers' key.
@@ -359,8 +359,8 @@
     }
 }
 
-fn draw() -> Result<[u8; key::RANDOM_LENGTH], Error> {
-    let mut random = [0; key::RANDOM_LENGTH];
+fn draw() -> Result<[u8; key::RANDOM_BYTES], Error> {
+    let mut random = [0; key::RANDOM_BYTES];
     getrandom::fill(&mut random).map_err(io::Error::other)?;
     Ok(random)
 }
