--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -103,7 +103,7 @@
                 ..self.crash_message(incarnation)
             };
             let core = Arc::clone(&self.core);
-            tokio::spawn(async move { report(&core, &message).await });
+            tokio::spawn(async move { report_crash(&core, &message).await });
         }
     }
 
@@ -147,7 +147,7 @@
                 probed: crash.probed,
                 ..self.crash_message(crash.incarnation)
             };
-            report(&self.core, &message).await;
+            report_crash(&self.core, &message).await;
         }
         evidence != Evidence::ConnectFailed
     }
@@ -190,7 +190,7 @@
     }
 }
 
-async fn report(core: &core::Core, message: &claim::Crash) {
+async fn report_crash(core: &core::Core, message: &claim::Crash) {
     let leader = &core.leader;
     let result: Result<(), cranberrygap_link::error::Error> = leader
         .call(method::CRASH_REPORT, message, CRASH_REPORT_TIMEOUT)
--- a/crates/cranberrygap-entry/src/engine/permission.rs
+++ b/crates/cranberrygap-entry/src/engine/permission.rs
@@ -63,9 +63,9 @@
             .lock()
             .release_permission(&self.incarnation, &self.fingerprint);
         let core = Arc::clone(&self.core);
-        let message = message(&core, &self.incarnation, &self.fingerprint, true);
+        let message = permission_request(&core, &self.incarnation, &self.fingerprint, true);
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(async move { call(&core, &message).await });
+            runtime.spawn(async move { call_leader(&core, &message).await });
         }
     }
 }
@@ -77,7 +77,11 @@
     fingerprint: &SmolStr,
 ) -> bool {
     let sent_at = core.now();
-    let is_granted = call(core, &message(core, incarnation, fingerprint, false)).await;
+    let is_granted = call_leader(
+        core,
+        &permission_request(core, incarnation, fingerprint, false),
+    )
+    .await;
     if is_granted {
         let until = sent_at.after(permission::LEASE_DURATION);
         core.watch
@@ -87,7 +91,7 @@
     is_granted
 }
 
-async fn call(core: &core::Core, message: &claim::Leave) -> bool {
+async fn call_leader(core: &core::Core, message: &claim::Leave) -> bool {
     let leader = &core.leader;
     let result: Result<bool, cranberrygap_link::error::Error> = leader
         .call(method::SUSPECT_LEAVE, message, CALL_TIMEOUT)
@@ -95,7 +99,7 @@
     result.unwrap_or(false)
 }
 
-fn message(
+fn permission_request(
     core: &core::Core,
     incarnation: &suspects::Incarnation,
     fingerprint: &SmolStr,
--- a/crates/cranberrygap-entry/src/gateway/delivery.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery.rs
@@ -278,12 +278,12 @@
         if self.try_take_resend() {
             return Ok(());
         }
-        let retry_after = failure::jittered(NO_CAPACITY_RETRY_AFTER);
+        let retry_after = failure::add_jitter(NO_CAPACITY_RETRY_AFTER);
         Err(Failure::NotRun { retry_after })
     }
 
     fn no_endpoint_failure(&self, retry_after: duration::Span, cause: &'static str) -> Failure {
-        let retry_after = failure::jittered(retry_after);
+        let retry_after = failure::add_jitter(retry_after);
         if self.attempts == 0 {
             return Failure::NoEndpoint { retry_after, cause };
         }
--- a/crates/cranberrygap-entry/src/gateway/delivery/target.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery/target.rs
@@ -142,7 +142,8 @@
     fn choose_plain_endpoint(&self) -> Result<Target, Failure> {
         let now = self.now();
         let endpoints = &self.gateway.core.endpoints;
-        let destination = endpoints.choose_plain(now, &self.resolution.service, &self.tried);
+        let destination =
+            endpoints.choose_plain_endpoint(now, &self.resolution.service, &self.tried);
         let destination = destination.ok_or_else(|| {
             self.no_endpoint_failure(NO_CAPACITY_RETRY_AFTER, "no endpoint is ready")
         })?;
@@ -223,14 +224,14 @@
     /// before the deadline.
     fn latest_start(&self, model: &id::Model) -> duration::Instant {
         let latency = self.latency(model);
-        let first = latency.prefill_time(self.prompt_tokens()).0
+        let first_event = latency.prefill_time(self.prompt_tokens()).0
             + latency.event_interval().0
             + TRANSFER_MARGIN.0;
-        let whole = first + latency.answer_time(self.max_output_tokens()).0;
+        let whole_response = first_event + latency.answer_time(self.max_output_tokens()).0;
         let silence_deadline = self.request.silence_deadline(&self.resolution.route).0;
-        let first = silence_deadline.saturating_sub(first);
-        let whole = self.deadline().0.saturating_sub(whole);
-        duration::Instant(first.min(whole))
+        let first_event = silence_deadline.saturating_sub(first_event);
+        let whole_response = self.deadline().0.saturating_sub(whole_response);
+        duration::Instant(first_event.min(whole_response))
     }
 
     fn latency(&self, model: &id::Model) -> latency::Estimate {
--- a/crates/cranberrygap-entry/src/gateway/endpoints.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints.rs
@@ -138,7 +138,7 @@
         }
         inner.endpoints = Arc::clone(view.endpoints());
         inner.residencies = Arc::clone(view.residencies());
-        inner.rebuild(now, &self.domain);
+        inner.rebuild_states(now, &self.domain);
     }
 
     /// The engine with the earliest first event for a request.
@@ -156,12 +156,12 @@
             adapter.is_none_or(|adapter| state.adapters.contains(adapter.as_str()))
         };
         let usable: Vec<&State> = inner
-            .usable(query.service, query.tried)
+            .usable_states(query.service, query.tried)
             .filter(|state| state.holds_model(query.model))
             .filter(|state| !query.only_with_adapter || has_adapter(state))
             .collect();
-        let reachable_states = reachable(now, &usable);
-        let home = session_home(query, &reachable_states);
+        let reachable_states = filter_reachable(now, &usable);
+        let home = session_engine(query, &reachable_states);
         let candidates = reachable_states.iter().map(|state| selection::Candidate {
             endpoint: &state.endpoint,
             backlog: inner.backlog(now, state),
@@ -170,7 +170,7 @@
             has_affinity: home == Some(&state.endpoint),
             same_domain: state.same_domain,
             has_adapter: has_adapter(state),
-            failure_rate: state.failures.rate(now),
+            failure_rate: state.failures.failure_rate(now),
         });
         let request = selection::Request {
             rank: query.rank,
@@ -220,15 +220,15 @@
     }
 
     /// The endpoint of a plain service with the fewest requests of this entry.
-    pub(crate) fn choose_plain(
+    pub(crate) fn choose_plain_endpoint(
         &self,
         now: duration::Instant,
         service: &id::Service,
         tried: &Tried,
     ) -> Option<Destination> {
         let inner = self.inner.lock();
-        let usable: Vec<&State> = inner.usable(service, tried).collect();
-        let reachable_states = reachable(now, &usable);
+        let usable: Vec<&State> = inner.usable_states(service, tried).collect();
+        let reachable_states = filter_reachable(now, &usable);
         let best = reachable_states.into_iter().min_by_key(|state| {
             let running = inner.backlog(now, state).running;
             let remote_penalty = u32::from(!state.same_domain) * REMOTE_PENALTY_REQUESTS;
@@ -237,7 +237,8 @@
                 clippy::cast_sign_loss,
                 reason = "a share of one, times a small number"
             )]
-            let failure_penalty = (state.failures.rate(now) * FAILURE_PENALTY_REQUESTS) as u32;
+            let failure_penalty =
+                (state.failures.failure_rate(now) * FAILURE_PENALTY_REQUESTS) as u32;
             let tie_breaker = prefix_cache::affinity(now.0, &state.endpoint);
             (running + remote_penalty + failure_penalty, tie_breaker)
         });
@@ -247,7 +248,7 @@
     /// Whether any endpoint of a service can get requests.
     pub(crate) fn has_usable_endpoint(&self, service: &id::Service) -> bool {
         let inner = self.inner.lock();
-        inner.usable(service, &Tried::new()).next().is_some()
+        inner.usable_states(service, &Tried::new()).next().is_some()
     }
 
     /// Records that a request was sent.
@@ -392,7 +393,7 @@
 }
 
 impl Inner {
-    fn rebuild(&mut self, now: duration::Instant, domain: &id::Domain) {
+    fn rebuild_states(&mut self, now: duration::Instant, domain: &id::Domain) {
         let mut previous_states = std::mem::take(&mut self.states);
         self.by_service.clear();
         for (name, endpoint) in self.endpoints.iter() {
@@ -411,7 +412,7 @@
     }
 
     /// Ready endpoints of a service that were not tried; suspect ones if none is ready.
-    fn usable(&self, service: &id::Service, tried: &Tried) -> impl Iterator<Item = &State> {
+    fn usable_states(&self, service: &id::Service, tried: &Tried) -> impl Iterator<Item = &State> {
         let names = self.by_service.get(service).into_iter().flatten();
         let states = names.filter_map(|name| self.states.get(name));
         let untried = states.filter(|state| !tried.contains(&state.endpoint));
@@ -430,7 +431,10 @@
 }
 
 /// Endpoints that can be reached as far as known, or all if there are none.
-fn reachable<'states>(now: duration::Instant, states: &[&'states State]) -> Vec<&'states State> {
+fn filter_reachable<'states>(
+    now: duration::Instant,
+    states: &[&'states State],
+) -> Vec<&'states State> {
     let reached = states.iter().filter(|state| state.is_reachable(now));
     let reached: Vec<&State> = reached.copied().collect();
     if reached.is_empty() {
@@ -440,7 +444,7 @@
 }
 
 /// The engine that the prompt's session has the highest affinity to.
-fn session_home<'states>(
+fn session_engine<'states>(
     query: &Query<'_>,
     states: &[&'states State],
 ) -> Option<&'states id::Endpoint> {
--- a/crates/cranberrygap-entry/src/gateway/endpoints/state.rs
+++ b/crates/cranberrygap-entry/src/gateway/endpoints/state.rs
@@ -147,7 +147,7 @@
     }
 
     /// Share of recent responses that were failures, 0 to 1.
-    pub(super) fn rate(&self, now: duration::Instant) -> f64 {
+    pub(super) fn failure_rate(&self, now: duration::Instant) -> f64 {
         let decayed = self.decayed(now);
         decayed.failed / (decayed.total + ASSUMED_SUCCESSES)
     }
--- a/crates/cranberrygap-entry/src/gateway/failure.rs
+++ b/crates/cranberrygap-entry/src/gateway/failure.rs
@@ -15,7 +15,7 @@
 const MAX_JITTER_FACTOR: f64 = 1.35;
 
 /// Adds jitter to a retry delay, so that callers refused together return apart.
-pub(super) fn jittered(delay: duration::Span) -> duration::Span {
+pub(super) fn add_jitter(delay: duration::Span) -> duration::Span {
     let factor =
         MIN_JITTER_FACTOR + rand::random::<f64>() * (MAX_JITTER_FACTOR - MIN_JITTER_FACTOR);
     delay.scaled(factor)
@@ -71,7 +71,7 @@
     /// The entry stops before the request could be sent.
     pub(crate) fn stopping() -> Self {
         Self::NoEndpoint {
-            retry_after: jittered(STOPPING_RETRY_AFTER),
+            retry_after: add_jitter(STOPPING_RETRY_AFTER),
             cause: "the entry stops",
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -17,9 +17,11 @@
 
 use super::endpoints;
 
-/// Time between two messages. A prompt is read in about 70 ms; half that age on average is
-/// what keeps entries from choosing the same engine. A shorter interval would cost more
-/// traffic between failure domains than the better choice is worth.
+/// Time between two messages.
+///
+/// A prompt is read in about 70 ms. A message is half an interval old on average, which
+/// keeps entries from choosing the same engine. A shorter interval would cost more traffic
+/// between failure domains than the better choice is worth.
 const SEND_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Largest message; one datagram carries it without fragmentation.
--- a/crates/cranberrygap-entry/src/gateway/in_flight.rs
+++ b/crates/cranberrygap-entry/src/gateway/in_flight.rs
@@ -90,7 +90,7 @@
             }
         } else if let Some(pause) = pause {
             self.core.endpoints.observe_latency(|estimator| {
-                estimator.observe_event_interval(service, model, pause)
+                estimator.observe_event_interval(service, model, pause);
             });
         }
     }
--- a/crates/cranberrygap-entry/src/gateway/listener.rs
+++ b/crates/cranberrygap-entry/src/gateway/listener.rs
@@ -16,7 +16,7 @@
 /// Pause after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time between two searches for expired idle connections to endpoints.
+/// Time between two sweeps that close expired idle connections to endpoints.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Connections of callers; file descriptors must remain for endpoints.
@@ -63,7 +63,7 @@
             stage,
             open_connections,
             accept_task: tokio::spawn(accepting),
-            sweep_task: tokio::spawn(close_expired(Arc::clone(gateway))),
+            sweep_task: tokio::spawn(sweep_pool(Arc::clone(gateway))),
         })
     }
 
@@ -109,7 +109,7 @@
     }
 }
 
-async fn close_expired(gateway: Arc<Gateway>) {
+async fn sweep_pool(gateway: Arc<Gateway>) {
     loop {
         time::sleep(SWEEP_INTERVAL).await;
         gateway.pool.close_expired();
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -110,7 +110,9 @@
 impl Request {
     /// Resolves the request against the plan in force at this moment.
     pub(crate) fn resolve(&self, view: &view::Snapshot) -> Result<Resolution, Failure> {
-        let table = view.traffic().ok_or_else(|| no_view(NO_PLAN_RETRY_AFTER))?;
+        let table = view
+            .traffic()
+            .ok_or_else(|| no_view_failure(NO_PLAN_RETRY_AFTER))?;
         let route = table.route(&self.host, self.target.path());
         let route = route.ok_or(Failure::NoRoute)?;
         let workspace = self.paying_workspace(table, route)?;
@@ -284,8 +286,8 @@
     }
 }
 
-fn no_view(retry_after: duration::Span) -> Failure {
-    let retry_after = failure::jittered(retry_after);
+fn no_view_failure(retry_after: duration::Span) -> Failure {
+    let retry_after = failure::add_jitter(retry_after);
     Failure::NoView { retry_after }
 }
 
@@ -296,7 +298,7 @@
     gateway
         .core
         .time(metric::VIEW_AGE, gateway.core.view.age(now));
-    view.ok_or_else(|| no_view(gateway.core.view.wait(now)))
+    view.ok_or_else(|| no_view_failure(gateway.core.view.wait(now)))
 }
 
 fn to_request(
@@ -305,7 +307,7 @@
     body: Bytes,
     metadata: dialect::Metadata,
 ) -> Result<Request, Failure> {
-    let host = host(&head).ok_or_else(|| Failure::Malformed("the host is missing".into()))?;
+    let host = host_name(&head).ok_or_else(|| Failure::Malformed("the host is missing".into()))?;
     let target = head.uri.path_and_query().cloned();
     let target = target.unwrap_or_else(|| PathAndQuery::from_static("/"));
     let model = metadata.model.as_ref().map_or("", id::Model::as_str);
@@ -329,7 +331,7 @@
 }
 
 /// The host that the caller names, in lower case and without a port.
-fn host(head: &request::Parts) -> Option<SmolStr> {
+fn host_name(head: &request::Parts) -> Option<SmolStr> {
     let named = head.headers.get(header::HOST);
     let named = named.and_then(|value| value.to_str().ok());
     let named = head
@@ -402,7 +404,7 @@
     match permit {
         Ok(permit) => Ok(Some(permit)),
         Err(rejection) => Err(Failure::OverRate {
-            retry_after: failure::jittered(rejection.retry_after()),
+            retry_after: failure::add_jitter(rejection.retry_after()),
         }),
     }
 }
--- a/crates/cranberrygap-entry/src/gateway/stream.rs
+++ b/crates/cranberrygap-entry/src/gateway/stream.rs
@@ -84,7 +84,7 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    match self.complete_events(data) {
+                    match self.take_complete_events(data) {
                         Ok(data) if data.is_empty() => {}
                         other => return Some(other),
                     }
@@ -137,7 +137,7 @@
     }
 
     /// The bytes that can be forwarded now.
-    fn complete_events(&mut self, data: Bytes) -> Result<Bytes, Error> {
+    fn take_complete_events(&mut self, data: Bytes) -> Result<Bytes, Error> {
         let Some(splitter) = &mut self.splitter else {
             return Ok(data);
         };
