--- a/crates/cranberrygap-entry/src/admission/stats.rs
+++ b/crates/cranberrygap-entry/src/admission/stats.rs
@@ -71,14 +71,11 @@
         if requests == 0 {
             return None;
         }
-        let mut line = format!(
-            "{} requests had their tokens at once",
-            finished.admitted_at_once
-        );
+        let mut line = format!("{} requests admitted at once", finished.admitted_at_once);
         // Writing to a string never fails.
         let _infallible = write!(
             line,
-            ", {} waited {}, {} were refused after {}; renewals",
+            ", {} after waiting {}, {} refused after {}; renewals",
             finished.admitted_waits.count,
             finished.admitted_waits.describe(),
             finished.refused_waits.count,
@@ -89,7 +86,7 @@
         }
         let _infallible = write!(
             line,
-            " {} answered in {}, {} not",
+            " {} answered in {}, {} unanswered",
             finished.renewal_times.count,
             finished.renewal_times.describe(),
             finished.unanswered_renewals
@@ -119,7 +116,7 @@
     match reason {
         holder::RenewalReason::Interval => "by period",
         holder::RenewalReason::Shortage => "for shortage",
-        holder::RenewalReason::Confirmation => "to confirm",
-        holder::RenewalReason::NoAnswer => "after silence",
+        holder::RenewalReason::Confirmation => "for confirmation",
+        holder::RenewalReason::NoAnswer => "after no answer",
     }
 }
--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -103,7 +103,7 @@
                 ..self.crash_message(incarnation)
             };
             let core = Arc::clone(&self.core);
-            tokio::spawn(async move { report(&core, &message).await });
+            tokio::spawn(async move { report_crash(&core, &message).await });
         }
     }
 
@@ -138,7 +138,7 @@
             .record_death(self.core.now(), &incarnation);
         if let Some(crash) = crash {
             warn!(
-                "quarantine: {} died with {} requests of this entry",
+                "quarantine: {} died while it ran {} requests of this entry",
                 crash.incarnation.endpoint,
                 crash.fingerprints.len()
             );
@@ -147,7 +147,7 @@
                 probed: crash.probed,
                 ..self.crash_message(crash.incarnation)
             };
-            report(&self.core, &message).await;
+            report_crash(&self.core, &message).await;
         }
         evidence != Evidence::ConnectFailed
     }
@@ -190,13 +190,13 @@
     }
 }
 
-async fn report(core: &core::Core, message: &claim::Crash) {
+async fn report_crash(core: &core::Core, message: &claim::Crash) {
     let leader = &core.leader;
     let result: Result<(), cranberrygap_link::error::Error> = leader
         .call(method::CRASH_REPORT, message, CRASH_REPORT_TIMEOUT)
         .await;
     if let Err(cause) = result {
-        warn!("quarantine: the leader was not told: {cause}");
+        warn!("quarantine: reporting to the leader failed: {cause}");
     }
 }
 
@@ -204,9 +204,12 @@
     fn drop(&mut self) {
         let elapsed = self.core.now().since(self.sent_at);
         let (code, sentence) = if self.failed {
-            ("broken", "the endpoint failed, or its answer was not whole")
+            (
+                "broken",
+                "the endpoint failed, or its response was incomplete",
+            )
         } else {
-            ("ended", "the endpoint's part ended")
+            ("ended", "the attempt ended")
         };
         let facts: [(&'static str, &dyn std::fmt::Display); 1] = [("took", &elapsed)];
         self.core.trace.note(&self.about, code, sentence, &facts);
