--- a/crates/cranberrygap-control/src/confirmation.rs
+++ b/crates/cranberrygap-control/src/confirmation.rs
@@ -15,18 +15,18 @@
 use crate::replicated;
 
 /// Announcements that one confirmation may bring.
-const MOST_ANNOUNCEMENTS: usize = 4_096;
+const MAX_ANNOUNCEMENTS: usize = 4_096;
 
 /// Takes confirmations while this process leads.
 #[derive(Debug)]
-pub struct Confirmations {
+pub struct Handler {
     state: Arc<replicated::State>,
     proposer: proposer::Proposer,
     detector: Arc<detector::Detector>,
     metrics: metric::Recorder,
 }
 
-impl Confirmations {
+impl Handler {
     /// Confirmations that change `state` through `proposer`.
     #[must_use]
     pub const fn new(
@@ -52,30 +52,30 @@
     /// # Errors
     ///
     /// When this process does not lead, or the log takes nothing.
-    pub async fn take(&self, confirm: &view::Confirm) -> Result<view::Confirmed, server::Fault> {
+    pub async fn handle(&self, confirm: &view::Confirm) -> Result<view::Confirmed, server::Fault> {
         self.proposer.check_leads()?;
-        let note = || {
+        let record = || {
             self.detector
-                .with_office(|now, leadership| hear(now, leadership, confirm))
+                .with_leadership(|now, leadership| record_liveness(now, leadership, confirm))
         };
-        self.metrics.work(metric::Work::Lease, note);
-        self.note_member(confirm).await?;
-        self.note_announcements(confirm).await?;
+        self.metrics.measure(metric::Work::Lease, record);
+        self.commit_member(confirm).await?;
+        self.commit_announcements(confirm).await?;
         // Committing may have taken long; only who leads now may grant.
         let status = self.proposer.check_leads()?;
         let grant = || {
             self.detector
-                .with_office(|now, leadership| leadership.grant_lease(now, confirm))
+                .with_leadership(|now, leadership| leadership.grant_lease(now, confirm))
         };
-        let lease = self.metrics.work(metric::Work::Lease, grant);
+        let lease = self.metrics.measure(metric::Work::Lease, grant);
         let Some(lease) = lease else {
             return Err(server::Fault::new(
                 method::NO_QUORUM,
-                "the leader's lease ran out",
+                "the leader's lease expired",
             ));
         };
         Ok(view::Confirmed {
-            revision: self.state.binding(),
+            revision: self.state.binding_revision(),
             term: status.term,
             lease,
         })
@@ -83,7 +83,7 @@
 
     /// An entry must be known before it gets a lease: a new leader takes from
     /// the state who may hold one.
-    async fn note_member(&self, confirm: &view::Confirm) -> Result<(), server::Fault> {
+    async fn commit_member(&self, confirm: &view::Confirm) -> Result<(), server::Fault> {
         let member = view::Member {
             instance: confirm.instance.clone(),
             domain: confirm.domain.clone(),
@@ -105,10 +105,10 @@
         proposed.await.map(drop)
     }
 
-    async fn note_announcements(&self, confirm: &view::Confirm) -> Result<(), server::Fault> {
-        if confirm.announcements.len() > MOST_ANNOUNCEMENTS {
-            let sentence = "too many announcements at once";
-            return Err(server::Fault::new(method::REFUSED, sentence));
+    async fn commit_announcements(&self, confirm: &view::Confirm) -> Result<(), server::Fault> {
+        if confirm.announcements.len() > MAX_ANNOUNCEMENTS {
+            let message = "too many announcements at once";
+            return Err(server::Fault::new(method::REFUSED, message));
         }
         let steps = confirm.announcements.iter().cloned();
         let commands =
@@ -118,17 +118,21 @@
     }
 }
 
-fn hear(now: duration::Instant, leadership: &mut leadership::Leadership, confirm: &view::Confirm) {
+fn record_liveness(
+    now: duration::Instant,
+    leadership: &mut leadership::Leadership,
+    confirm: &view::Confirm,
+) {
     for announcement in &confirm.announcements {
         let seen = view::Seen {
             endpoint: announcement.endpoint.clone(),
             boot: announcement.boot,
             sequence: announcement.sequence,
         };
-        leadership.hear(now, &seen);
+        leadership.record_heartbeat(now, &seen);
     }
     for seen in &confirm.seen {
-        leadership.hear(now, seen);
+        leadership.record_heartbeat(now, seen);
     }
-    leadership.hear_entry(now, confirm);
+    leadership.record_confirmation(now, confirm);
 }
--- a/crates/cranberrygap-control/src/delta.rs
+++ b/crates/cranberrygap-control/src/delta.rs
@@ -19,7 +19,7 @@
 pub struct Buffer {
     revision: number::Revision,
     changes: Vec<Arc<encoded::Change>>,
-    sent: Option<duration::Instant>,
+    last_sent: Option<duration::Instant>,
 }
 
 /// The changes up to a revision, in the form of a frame.
@@ -33,7 +33,7 @@
 
 /// What a change replaces as a whole.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
+enum Key {
     Configuration,
     Catalogue,
     Plan,
@@ -53,20 +53,20 @@
     /// Forgets what waits; a snapshot that was sent at `now` holds it.
     pub fn reset(&mut self, now: duration::Instant) {
         self.changes.clear();
-        self.sent = Some(now);
+        self.last_sent = Some(now);
     }
 
     /// When the next frame may be sent by a process with so many followers; `None` while
     /// nothing waits.
     #[must_use]
-    pub fn next_due(&self, followers: usize) -> Option<duration::Instant> {
+    pub fn next_due(&self, subscribers: usize) -> Option<duration::Instant> {
         if self.changes.is_empty() {
             return None;
         }
-        let sent = self
-            .sent
-            .map(|sent| sent.after(leader_calls::min_interval(followers)));
-        Some(sent.unwrap_or_default())
+        let earliest = self
+            .last_sent
+            .map(|earliest| earliest.after(leader_calls::min_interval(subscribers)));
+        Some(earliest.unwrap_or_default())
     }
 
     /// The frame with all that waits, sent at `now`.
@@ -74,8 +74,8 @@
         if self.changes.is_empty() {
             return None;
         }
-        self.sent = Some(now);
-        let changes = latest(std::mem::take(&mut self.changes));
+        self.last_sent = Some(now);
+        let changes = drop_obsolete(std::mem::take(&mut self.changes));
         let revision = self.revision;
         Some(Delta { revision, changes })
     }
@@ -106,29 +106,29 @@
 }
 
 /// Leaves out changes that a later one replaces as a whole.
-fn latest(changes: Vec<Arc<encoded::Change>>) -> Vec<Arc<encoded::Change>> {
-    let mut known = BTreeSet::new();
+fn drop_obsolete(changes: Vec<Arc<encoded::Change>>) -> Vec<Arc<encoded::Change>> {
+    let mut keys = BTreeSet::new();
     let mut kept: Vec<Arc<encoded::Change>> = changes
         .into_iter()
         .rev()
-        .filter(|change| subject(change.change()).is_none_or(|subject| known.insert(subject)))
+        .filter(|change| replaced_key(change.change()).is_none_or(|key| keys.insert(key)))
         .collect();
     kept.reverse();
     kept
 }
 
 /// What a change replaces as a whole; `None` if each one counts.
-fn subject(change: &view::Change) -> Option<Subject> {
+fn replaced_key(change: &view::Change) -> Option<Key> {
     match change {
-        view::Change::Configured { .. } => Some(Subject::Configuration),
-        view::Change::Catalogued { .. } => Some(Subject::Catalogue),
-        view::Change::Rerouted { .. } => Some(Subject::Plan),
+        view::Change::Configured { .. } => Some(Key::Configuration),
+        view::Change::Catalogued { .. } => Some(Key::Catalogue),
+        view::Change::Rerouted { .. } => Some(Key::Plan),
         view::Change::EndpointChanged { endpoint } => {
-            Some(Subject::Endpoint(endpoint.announcement.endpoint.clone()))
+            Some(Key::Endpoint(endpoint.announcement.endpoint.clone()))
         }
-        view::Change::Resided { residency } => Some(Subject::Residency(residency.endpoint.clone())),
-        view::Change::MemberChanged { member } => Some(Subject::Member(member.instance.clone())),
-        view::Change::Lent { lender } => Some(Subject::Lender(lender.workspace.clone())),
+        view::Change::Resided { residency } => Some(Key::Residency(residency.endpoint.clone())),
+        view::Change::MemberChanged { member } => Some(Key::Member(member.instance.clone())),
+        view::Change::Lent { lender } => Some(Key::Lender(lender.workspace.clone())),
         view::Change::KeyIssued { .. }
         | view::Change::KeyWithdrawn { .. }
         | view::Change::EndpointRemoved { .. }
--- a/crates/cranberrygap-control/src/detector.rs
+++ b/crates/cranberrygap-control/src/detector.rs
@@ -17,14 +17,14 @@
 
 /// Time between two looks. It is part of the time in which a withdrawn key
 /// stops working, see [`leadership::LEASE`].
-const PERIOD: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two looks whether all rely on a change; entries confirm one some 30 ms after
 /// it is committed.
-const SETTLE_LOOK: Duration = Duration::from_millis(15);
+const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Time between two readings of the store's list.
-const STORE_PERIOD: Duration = Duration::from_secs(1);
+const STORE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The leader's term, shared with those who serve entries.
 #[derive(Debug)]
@@ -63,24 +63,26 @@
     ///
     /// Knowledge of an earlier term is dropped: another leader may have given
     /// leases since.
-    pub fn with_office<R>(
+    pub fn with_leadership<R>(
         &self,
         work: impl FnOnce(duration::Instant, &mut leadership::Leadership) -> R,
     ) -> Option<R> {
         let status = self.proposer.status();
-        let binding = self.state.binding();
+        let binding_revision = self.state.binding_revision();
         let now = self.clock.now();
         let mut leadership = self.leadership.lock();
         if !status.leads {
             *leadership = None;
             return None;
         }
-        let held = leadership.take().filter(|held| held.term() == status.term);
-        let mut current = held.unwrap_or_else(|| {
+        let current = leadership
+            .take()
+            .filter(|current| current.term() == status.term);
+        let mut current = current.unwrap_or_else(|| {
             spdlog::info!("leader: takes leadership in term {}", status.term);
-            leadership::Leadership::new(status.term, now, binding)
+            leadership::Leadership::new(status.term, now, binding_revision)
         });
-        current.record_revision(now, binding);
+        current.record_revision(now, binding_revision);
         let result = work(now, &mut current);
         *leadership = Some(current);
         Some(result)
@@ -91,81 +93,89 @@
     ///
     /// An entry that is gone holds this up until its lease has nearly run out, and none gets
     /// a new one without the change, so that the wait is bounded by the lease.
-    pub(crate) async fn settle(&self) -> Option<()> {
-        let revision = self.state.binding();
+    pub(crate) async fn wait_until_in_force(&self) -> Option<()> {
+        let revision = self.state.binding_revision();
         loop {
-            let settled = self.with_office(|now, leadership| {
+            let in_force = self.with_leadership(|now, leadership| {
                 self.state
                     .read(|fleet| leadership.try_acknowledge(now, revision, fleet))
             })?;
-            if settled {
+            if in_force {
                 return Some(());
             }
-            tokio::time::sleep(SETTLE_LOOK).await;
+            tokio::time::sleep(IN_FORCE_CHECK_INTERVAL).await;
         }
     }
 
     /// Looks for silence until the process stops.
-    pub(crate) async fn watch(self: Arc<Self>) {
+    pub(crate) async fn run(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(PERIOD).await;
-            let look = || {
-                self.with_office(|now, leadership| {
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let check = || {
+                self.with_leadership(|now, leadership| {
                     self.state.read(|fleet| {
                         leadership.prune(now, fleet);
-                        leadership.findings(now, fleet)
+                        leadership.check_liveness(now, fleet)
                     })
                 })
             };
-            let found = self.metrics.work(metric::Work::Silence, look);
-            let Some(found) = found else {
+            let transitions = self.metrics.measure(metric::Work::Silence, check);
+            let Some(transitions) = transitions else {
                 continue;
             };
-            let endpoints = found.endpoints.into_iter().map(command::Command::Endpoint);
-            let members = found.members.into_iter().map(command::Command::Member);
-            let proposals = endpoints.chain(members).map(|command| self.note(command));
+            let endpoints = transitions
+                .endpoints
+                .into_iter()
+                .map(command::Command::Endpoint);
+            let members = transitions
+                .members
+                .into_iter()
+                .map(command::Command::Member);
+            let proposals = endpoints
+                .chain(members)
+                .map(|command| self.propose(command));
             future::join_all(proposals).await;
         }
     }
 
-    async fn note(&self, command: command::Command) {
-        spdlog::info!("leader: finds {command:?}");
+    async fn propose(&self, command: command::Command) {
+        spdlog::info!("leader: proposes {command:?}");
         if let Err(fault) = self.proposer.propose(command).await {
             // It is found again at the next look.
-            spdlog::warn!("leader: could not note it: {}", fault.message);
+            spdlog::warn!("leader: could not commit a proposal: {}", fault.message);
         }
     }
 
     /// Follows the store's list until the process stops.
-    pub(crate) async fn follow_store(self: Arc<Self>, store: store::Store) {
-        let mut reached = true;
+    pub(crate) async fn poll_store(self: Arc<Self>, store: store::Store) {
+        let mut reachable = true;
         loop {
-            tokio::time::sleep(STORE_PERIOD).await;
+            tokio::time::sleep(STORE_POLL_INTERVAL).await;
             if !self.proposer.status().leads {
                 continue;
             }
-            match store.list().await {
+            match store.list_models().await {
                 Ok(models) => {
-                    reached = true;
-                    self.take_list(models).await;
+                    reachable = true;
+                    self.update_catalogue(models).await;
                 }
-                Err(cause) if reached => {
-                    reached = false;
+                Err(cause) if reachable => {
+                    reachable = false;
                     spdlog::warn!("store: {cause}");
                 }
-                Err(_still_not_reached) => {}
+                Err(_still_unreachable) => {}
             }
         }
     }
 
-    async fn take_list(&self, models: Vec<cranberrygap_wire::endpoint::Weights>) {
+    async fn update_catalogue(&self, models: Vec<cranberrygap_wire::endpoint::Weights>) {
         if !self.state.read(|fleet| fleet.catalogue.differs(&models)) {
             return;
         }
         spdlog::info!("store: lists {} models", models.len());
         let command = command::Command::Catalogue(catalogue::Step { models });
         if let Err(fault) = self.proposer.propose(command).await {
-            spdlog::warn!("store: could not note the list: {}", fault.message);
+            spdlog::warn!("store: could not commit the list: {}", fault.message);
         }
     }
 }
--- a/crates/cranberrygap-control/src/leadership.rs
+++ b/crates/cranberrygap-control/src/leadership.rs
@@ -6,7 +6,7 @@
 use cranberrygap_state::{endpoint, fleet, member};
 use cranberrygap_wire::{endpoint as announced, view};
 
-use crate::processes;
+use crate::boots;
 
 /// Time from sending its confirmation for which an entry may serve.
 ///
@@ -18,71 +18,71 @@
 /// What may be left of an entry's lease when a change is acknowledged that it has not
 /// confirmed: the time for which it may still serve without it. Changes must be in force within two seconds; the
 /// rest is for the answer's way and for clocks.
-pub const LEASE_LEFT: duration::Span = duration::Span::from_millis(1_500);
+pub const MAX_LEASE_LEFT: duration::Span = duration::Span::from_millis(1_500);
 
 /// Time by which an entry's view may be behind when its lease is renewed.
-pub const LAG: duration::Span = duration::Span::from_millis(200);
+pub const MAX_VIEW_LAG: duration::Span = duration::Span::from_millis(200);
 
 /// Time beyond a lease that the leader counts it as held. The clocks of two
 /// instances may run at rates that differ a little; an entry with a slow clock
 /// would serve on while an operator is told that nobody does.
-pub const DRIFT: duration::Span = duration::Span::from_millis(50);
+pub const CLOCK_DRIFT: duration::Span = duration::Span::from_millis(50);
 
 /// Time without a confirmation after which an entry leaves the address list.
 /// Longer than the lease, so that it serves nobody by then.
-pub const ABSENCE: duration::Span = duration::Span::from_millis(4_500);
+pub const ENTRY_TIMEOUT: duration::Span = duration::Span::from_millis(4_500);
 
 /// Silence after which an endpoint is forgotten that was not leaving.
-pub const OBLIVION: duration::Span = duration::Span::from_secs(600);
+pub const FORGET_AFTER: duration::Span = duration::Span::from_secs(600);
 
 /// Marks that are kept; one a leader's period, so far more than [`LAG`] needs.
-const MOST_MARKS: usize = 64;
+const MAX_REVISION_SAMPLES: usize = 64;
 
 /// One leader's term.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Leadership {
     term: number::Term,
-    since: duration::Instant,
+    start: duration::Instant,
     entries: BTreeMap<id::Instance, Entry>,
-    endpoints: BTreeMap<id::Endpoint, processes::Processes<Heard>>,
-    marks: VecDeque<Mark>,
+    endpoints: BTreeMap<id::Endpoint, boots::Recent<Heartbeat>>,
+    revision_samples: VecDeque<RevisionSample>,
     /// Latest change whose sender was told that all rely on it.
     acknowledged: number::Revision,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Entry {
-    confirmed: processes::Processes<Confirmed>,
+    confirmations: boots::Recent<Confirmation>,
     /// End of the last lease that was given to any of its processes.
     lease_end: duration::Instant,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-struct Confirmed {
+struct Confirmation {
     revision: number::Revision,
     at: duration::Instant,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-struct Heard {
+struct Heartbeat {
     sequence: number::Sequence,
     at: duration::Instant,
 }
 
 /// The revision of the last binding change as it was at a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Mark {
+struct RevisionSample {
     at: duration::Instant,
     revision: number::Revision,
 }
 
 /// How an endpoint stands when it is judged by its silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum EndpointState {
     Ready,
     Suspect,
     /// It said so itself; once it is silent it has left.
-    Leaves,
+    Leaving,
     /// An operator wants it out of service. Its process may run on behind a cut;
     /// forgotten soon, it would come back into service when the cut ends.
     Drained,
@@ -91,7 +91,7 @@
 
 /// Commands that the leader should propose.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Findings {
+pub struct Transitions {
     /// News of endpoints.
     pub endpoints: Vec<endpoint::Step>,
     /// News of entries.
@@ -102,13 +102,13 @@
     /// Takes leadership at `now`, with the last binding change at `revision`.
     #[must_use]
     pub fn new(term: number::Term, now: duration::Instant, revision: number::Revision) -> Self {
-        let mark = Mark { at: now, revision };
+        let sample = RevisionSample { at: now, revision };
         Self {
             term,
-            since: now,
+            start: now,
             entries: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            marks: VecDeque::from([mark]),
+            revision_samples: VecDeque::from([sample]),
             acknowledged: number::Revision(0),
         }
     }
@@ -122,48 +122,49 @@
     /// Notes the revision of the last binding change; called at least once a period.
     pub fn record_revision(&mut self, now: duration::Instant, revision: number::Revision) {
         if self
-            .marks
+            .revision_samples
             .back()
             .is_some_and(|last| last.revision == revision)
         {
             return;
         }
-        self.marks.push_back(Mark { at: now, revision });
-        while self.marks.len() > MOST_MARKS {
-            self.marks.pop_front();
+        self.revision_samples
+            .push_back(RevisionSample { at: now, revision });
+        while self.revision_samples.len() > MAX_REVISION_SAMPLES {
+            self.revision_samples.pop_front();
         }
     }
 
     /// Notes a heartbeat of an endpoint that an entry passed on.
-    pub fn hear(&mut self, now: duration::Instant, seen: &view::Seen) {
-        let processes = self.endpoints.entry(seen.endpoint.clone()).or_default();
-        let before = processes.get(seen.boot);
+    pub fn record_heartbeat(&mut self, now: duration::Instant, seen: &view::Seen) {
+        let boots = self.endpoints.entry(seen.endpoint.clone()).or_default();
+        let before = boots.get(seen.boot);
         if before.is_some_and(|before| before.sequence >= seen.sequence) {
             return;
         }
-        let heard = Heard {
+        let heartbeat = Heartbeat {
             sequence: seen.sequence,
             at: now,
         };
-        processes.note(seen.boot, heard);
+        boots.insert(seen.boot, heartbeat);
     }
 
     /// Notes that an entry was heard and which revision it has; gives no lease.
-    pub fn hear_entry(&mut self, now: duration::Instant, confirm: &view::Confirm) {
-        let confirmed = Confirmed {
+    pub fn record_confirmation(&mut self, now: duration::Instant, confirm: &view::Confirm) {
+        let confirmation = Confirmation {
             revision: confirm.revision,
             at: now,
         };
-        let entry = self.entry(&confirm.instance);
-        entry.confirmed.note(confirm.boot, confirmed);
+        let entry = self.entry_mut(&confirm.instance);
+        entry.confirmations.insert(confirm.boot, confirmation);
     }
 
     /// The entry; one that is new may hold a lease that the leader before this one gave.
-    fn entry(&mut self, instance: &id::Instance) -> &mut Entry {
-        let inherited = self.inherited();
+    fn entry_mut(&mut self, instance: &id::Instance) -> &mut Entry {
+        let inherited = self.inherited_lease_end();
         let entry = self.entries.entry(instance.clone());
         entry.or_insert_with(|| Entry {
-            confirmed: processes::Processes::default(),
+            confirmations: boots::Recent::default(),
             lease_end: inherited,
         })
     }
@@ -178,7 +179,7 @@
         now: duration::Instant,
         confirm: &view::Confirm,
     ) -> duration::Span {
-        let required = self.required(now).max(self.acknowledged);
+        let required = self.required_revision(now).max(self.acknowledged);
         let lease = if confirm.revision >= required {
             LEASE
         } else {
@@ -186,23 +187,24 @@
         };
         let end = match lease {
             duration::Span(0) => now,
-            lease => now.after(lease).after(DRIFT),
+            lease => now.after(lease).after(CLOCK_DRIFT),
         };
-        self.hear_entry(now, confirm);
+        self.record_confirmation(now, confirm);
         // A lease that was given before holds on, also for an earlier process, and also
         // one that the leader before this one gave.
-        let entry = self.entry(&confirm.instance);
+        let entry = self.entry_mut(&confirm.instance);
         entry.lease_end = entry.lease_end.max(end);
         lease
     }
 
     /// The revision that an entry must have to get a lease.
-    fn required(&self, now: duration::Instant) -> number::Revision {
-        let mut marks = self.marks.iter().rev();
-        let old = marks.find(|mark| mark.at.after(LAG) <= now);
-        let first = self.marks.front();
-        old.or(first)
-            .map_or(number::Revision(0), |mark| mark.revision)
+    fn required_revision(&self, now: duration::Instant) -> number::Revision {
+        let mut samples = self.revision_samples.iter().rev();
+        let sample = samples.find(|sample| sample.at.after(MAX_VIEW_LAG) <= now);
+        let first = self.revision_samples.front();
+        sample
+            .or(first)
+            .map_or(number::Revision(0), |sample| sample.revision)
     }
 
     /// Entries that may still serve from a view before `revision`.
@@ -210,16 +212,18 @@
     /// Entries that were not heard in this term may hold a lease of the term
     /// before, which ends at the latest one lease after this term's start.
     #[must_use]
-    pub fn waiting(
+    pub fn entries_behind(
         &self,
         now: duration::Instant,
         revision: number::Revision,
         fleet: &fleet::Fleet,
     ) -> Vec<id::Instance> {
-        self.unsettled(now, revision, fleet).cloned().collect()
+        self.iter_entries_behind(now, revision, fleet)
+            .cloned()
+            .collect()
     }
 
-    fn unsettled<'all>(
+    fn iter_entries_behind<'all>(
         &'all self,
         now: duration::Instant,
         revision: number::Revision,
@@ -227,19 +231,19 @@
     ) -> impl Iterator<Item = &'all id::Instance> {
         let entries = fleet.members.boots();
         let entries = entries.filter(|(member, _)| member.role == view::Role::Entry);
-        let waiting = entries.filter(move |(member, boot)| {
+        let behind = entries.filter(move |(member, boot)| {
             match self.entries.get(&member.instance) {
                 Some(entry) => !entry.has_confirmed(*boot, revision) && now < entry.lease_end,
                 // One that left has no lease of the term before.
-                None => member.phase != view::Phase::Left && now < self.inherited(),
+                None => member.phase != view::Phase::Left && now < self.inherited_lease_end(),
             }
         });
-        waiting.map(|(member, _)| &member.instance)
+        behind.map(|(member, _)| &member.instance)
     }
 
     /// When the last lease of the term before ends at the latest.
-    fn inherited(&self) -> duration::Instant {
-        self.since.after(LEASE).after(DRIFT)
+    fn inherited_lease_end(&self) -> duration::Instant {
+        self.start.after(LEASE).after(CLOCK_DRIFT)
     }
 
     /// Whether the sender of the change at `revision` may be told at `now` that all rely on
@@ -257,30 +261,36 @@
         revision: number::Revision,
         fleet: &fleet::Fleet,
     ) -> bool {
-        let soon = now.after(LEASE_LEFT);
-        let settled = fleet.view_revision >= revision
-            && self.unsettled(soon, revision, fleet).next().is_none();
-        if settled {
+        let lease_limit = now.after(MAX_LEASE_LEFT);
+        let in_force = fleet.view_revision >= revision
+            && self
+                .iter_entries_behind(lease_limit, revision, fleet)
+                .next()
+                .is_none();
+        if in_force {
             self.acknowledged = self.acknowledged.max(revision);
         }
-        settled
+        in_force
     }
 
     /// Drops what is known of endpoints and entries that the fleet has forgotten
     /// and that were not heard for long, so that names of the past take no room.
     pub fn prune(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
-        self.endpoints.retain(|name, processes| {
-            let last = processes.last();
-            let fresh = last.is_some_and(|heard| now.since(heard.at) < OBLIVION);
-            fresh || fleet.endpoints.contains(name)
+        self.endpoints.retain(|name, boots| {
+            let last = boots.latest();
+            let recent = last.is_some_and(|heartbeat| now.since(heartbeat.at) < FORGET_AFTER);
+            recent || fleet.endpoints.contains(name)
+        });
+        self.entries.retain(|_, entry| {
+            entry
+                .last_heard()
+                .is_some_and(|last| now.since(last) < FORGET_AFTER)
         });
-        self.entries
-            .retain(|_, entry| entry.last().is_some_and(|last| now.since(last) < OBLIVION));
     }
 
     /// What became of endpoints and entries that were not heard.
     #[must_use]
-    pub fn findings(&self, now: duration::Instant, fleet: &fleet::Fleet) -> Findings {
+    pub fn check_liveness(&self, now: duration::Instant, fleet: &fleet::Fleet) -> Transitions {
         let silence = fleet.defaults().endpoint_silence;
         let endpoints = fleet.endpoints.announcements();
         let endpoints = endpoints.filter_map(|(announcement, health)| {
@@ -290,50 +300,53 @@
                 sequence: announcement.sequence,
             };
             let leaves = announcement.phase == announced::Phase::Leaving;
-            self.judge(now, silence, &seen, standing(health, leaves))
+            self.endpoint_transition(now, silence, &seen, endpoint_state(health, leaves))
         });
-        Findings {
+        Transitions {
             endpoints: endpoints.collect(),
-            members: self.absent(now, fleet),
+            members: self.gone_entries(now, fleet),
         }
     }
 
-    fn judge(
+    fn endpoint_transition(
         &self,
         now: duration::Instant,
         silence: duration::Span,
-        known: &view::Seen,
-        standing: Standing,
+        last_seen: &view::Seen,
+        state: EndpointState,
     ) -> Option<endpoint::Step> {
-        let processes = self.endpoints.get(&known.endpoint);
-        let heard = processes.and_then(|processes| processes.get(known.boot));
-        let quiet = now.since(heard.map_or(self.since, |heard| heard.at));
-        let latest = heard.map_or(known.sequence, |heard| heard.sequence.max(known.sequence));
+        let boots = self.endpoints.get(&last_seen.endpoint);
+        let heartbeat = boots.and_then(|boots| boots.get(last_seen.boot));
+        let silent = now.since(heartbeat.map_or(self.start, |heartbeat| heartbeat.at));
+        let latest = heartbeat.map_or(last_seen.sequence, |heartbeat| {
+            heartbeat.sequence.max(last_seen.sequence)
+        });
         let seen = view::Seen {
             sequence: latest,
-            ..known.clone()
+            ..last_seen.clone()
         };
-        match standing {
-            Standing::Suspect if heard.is_some() && quiet < silence => {
+        match state {
+            EndpointState::Suspect if heartbeat.is_some() && silent < silence => {
                 Some(endpoint::Step::Heard(seen))
             }
-            Standing::Suspect | Standing::Drained if quiet > OBLIVION => {
+            EndpointState::Suspect | EndpointState::Drained if silent > FORGET_AFTER => {
                 Some(endpoint::Step::Forgotten(seen))
             }
-            Standing::Leaves if quiet > silence => Some(endpoint::Step::Forgotten(seen)),
-            Standing::Ready if quiet > silence => Some(endpoint::Step::Silent(seen)),
+            EndpointState::Leaving if silent > silence => Some(endpoint::Step::Forgotten(seen)),
+            EndpointState::Ready if silent > silence => Some(endpoint::Step::Silent(seen)),
             _ => None,
         }
     }
 
-    fn absent(&self, now: duration::Instant, fleet: &fleet::Fleet) -> Vec<member::Step> {
+    fn gone_entries(&self, now: duration::Instant, fleet: &fleet::Fleet) -> Vec<member::Step> {
         let mut steps = Vec::new();
         for (member, boot) in fleet.members.boots() {
-            let counts = member.role == view::Role::Entry && member.phase != view::Phase::Left;
+            let is_active_entry =
+                member.role == view::Role::Entry && member.phase != view::Phase::Left;
             let entry = self.entries.get(&member.instance);
-            let confirmed = entry.and_then(|entry| entry.confirmed.get(boot));
-            let last = confirmed.map_or(self.since, |confirmed| confirmed.at);
-            if counts && now.since(last) > ABSENCE {
+            let confirmation = entry.and_then(|entry| entry.confirmations.get(boot));
+            let last = confirmation.map_or(self.start, |confirmation| confirmation.at);
+            if is_active_entry && now.since(last) > ENTRY_TIMEOUT {
                 let instance = member.instance.clone();
                 steps.push(member::Step::Gone { instance, boot });
             }
@@ -345,24 +358,24 @@
     #[must_use]
     pub fn dump(&self, now: duration::Instant) -> serde_json::Value {
         let entries = self.entries.iter().flat_map(|(instance, entry)| {
-            entry.confirmed.iter().map(move |(boot, confirmed)| {
+            entry.confirmations.iter().map(move |(boot, confirmation)| {
                 serde_json::json!({
-                    "instance": instance, "boot": boot, "revision": confirmed.revision,
-                    "silent": now.since(confirmed.at), "lease_left": entry.lease_end.since(now),
+                    "instance": instance, "boot": boot, "revision": confirmation.revision,
+                    "silent": now.since(confirmation.at), "lease_left": entry.lease_end.since(now),
                 })
             })
         });
-        let endpoints = self.endpoints.iter().flat_map(|(endpoint, processes)| {
-            processes.iter().map(move |(boot, heard)| {
+        let endpoints = self.endpoints.iter().flat_map(|(endpoint, boots)| {
+            boots.iter().map(move |(boot, heartbeat)| {
                 serde_json::json!({
-                    "seen": { "endpoint": endpoint, "boot": boot, "sequence": heard.sequence },
-                    "silent": now.since(heard.at),
+                    "seen": { "endpoint": endpoint, "boot": boot, "sequence": heartbeat.sequence },
+                    "silent": now.since(heartbeat.at),
                 })
             })
         });
         serde_json::json!({
             "term": self.term,
-            "since": self.since,
+            "since": self.start,
             "entries": entries.collect::<Vec<_>>(),
             "endpoints": endpoints.collect::<Vec<_>>(),
         })
@@ -372,22 +385,24 @@
 impl Entry {
     /// Whether the process with this boot said that it has the revision.
     fn has_confirmed(&self, boot: number::Boot, revision: number::Revision) -> bool {
-        let confirmed = self.confirmed.get(boot);
-        confirmed.is_some_and(|confirmed| confirmed.revision >= revision)
+        let confirmation = self.confirmations.get(boot);
+        confirmation.is_some_and(|confirmation| confirmation.revision >= revision)
     }
 
     /// When any of its processes was heard last.
-    fn last(&self) -> Option<duration::Instant> {
-        self.confirmed.last().map(|confirmed| confirmed.at)
+    fn last_heard(&self) -> Option<duration::Instant> {
+        self.confirmations
+            .latest()
+            .map(|confirmation| confirmation.at)
     }
 }
 
-const fn standing(health: view::Health, leaves: bool) -> Standing {
+const fn endpoint_state(health: view::Health, leaves: bool) -> EndpointState {
     match health {
-        view::Health::Ready => Standing::Ready,
-        view::Health::Suspect => Standing::Suspect,
-        view::Health::Leaving if leaves => Standing::Leaves,
-        view::Health::Leaving => Standing::Drained,
-        view::Health::Gone => Standing::Gone,
+        view::Health::Ready => EndpointState::Ready,
+        view::Health::Suspect => EndpointState::Suspect,
+        view::Health::Leaving if leaves => EndpointState::Leaving,
+        view::Health::Leaving => EndpointState::Drained,
+        view::Health::Gone => EndpointState::Gone,
     }
 }
--- a/crates/cranberrygap-control/src/links.rs
+++ b/crates/cranberrygap-control/src/links.rs
@@ -18,20 +18,20 @@
 use crate::transport;
 
 /// Messages that wait for one peer; more are dropped, the protocol resends.
-const QUEUE: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 256;
 
 /// Messages under way to one peer.
-const WINDOW: usize = 32;
+const MAX_IN_FLIGHT_MESSAGES: usize = 32;
 
 /// Peers that are remembered; more than a group ever has, also while it changes.
-const MOST_PEERS: usize = 32;
+const MAX_PEERS: usize = 32;
 
 /// Time after which a message counts as lost. Longer than a full disk queue,
 /// far shorter than what something between the ends takes to forget a flow.
-const DEADLINE: duration::Span = duration::Span::from_secs(2);
+const MESSAGE_TIMEOUT: duration::Span = duration::Span::from_secs(2);
 
 /// Pause after a failed connection.
-const PAUSE: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// A message as it goes over a link. The text is base64, which JSON carries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -44,10 +44,10 @@
 #[derive(Debug)]
 pub struct Links {
     own: address::Peer,
-    known: Vec<address::Peer>,
+    configured_peers: Vec<address::Peer>,
     secret: credential::Holder,
     queues: Mutex<BTreeMap<address::Peer, mpsc::Sender<Bytes>>>,
-    own_weak: Weak<Self>,
+    weak_self: Weak<Self>,
 }
 
 impl Links {
@@ -58,15 +58,15 @@
     #[must_use]
     pub fn new(
         own: address::Peer,
-        known: Vec<address::Peer>,
+        configured: Vec<address::Peer>,
         secret: credential::Secret,
     ) -> Arc<Self> {
         Arc::new_cyclic(|weak| Self {
             own,
-            known,
+            configured_peers: configured,
             secret: credential::Holder::new(secret),
             queues: Mutex::default(),
-            own_weak: Weak::clone(weak),
+            weak_self: Weak::clone(weak),
         })
     }
 
@@ -75,28 +75,28 @@
         self.secret.replace(secret);
     }
 
-    fn reached(&self, peer: &address::Peer) -> address::Peer {
-        let mut known = self.known.iter();
-        let known = known.find(|known| known.instance == peer.instance);
-        known.unwrap_or(peer).clone()
+    fn resolve(&self, peer: &address::Peer) -> address::Peer {
+        let mut configured = self.configured_peers.iter();
+        let configured = configured.find(|configured| configured.instance == peer.instance);
+        configured.unwrap_or(peer).clone()
     }
 
-    fn queue(&self, peer: &address::Peer) -> Option<mpsc::Sender<Bytes>> {
+    fn queue_to(&self, peer: &address::Peer) -> Option<mpsc::Sender<Bytes>> {
         let mut queues = self.queues.lock();
         if let Some(queue) = queues.get(peer) {
             return Some(queue.clone());
         }
-        if queues.len() >= MOST_PEERS {
+        if queues.len() >= MAX_PEERS {
             return None;
         }
-        let (sender, receiver) = mpsc::channel(QUEUE);
-        let line = Line {
-            links: Weak::clone(&self.own_weak),
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let link = PeerLink {
+            links: Weak::clone(&self.weak_self),
             own: self.own.clone(),
             peer: peer.clone(),
             receiver,
         };
-        tokio::spawn(line.run());
+        tokio::spawn(link.run());
         queues.insert(peer.clone(), sender.clone());
         Some(sender)
     }
@@ -104,7 +104,7 @@
 
 impl transport::Transport for Links {
     fn send(&self, peer: &address::Peer, message: Bytes) {
-        if let Some(queue) = self.queue(&self.reached(peer)) {
+        if let Some(queue) = self.queue_to(&self.resolve(peer)) {
             // Fails only when the queue is full; the protocol sends again.
             drop(queue.try_send(message));
         }
@@ -112,14 +112,14 @@
 }
 
 /// One line; it lives until the process stops.
-struct Line {
+struct PeerLink {
     links: Weak<Links>,
     own: address::Peer,
     peer: address::Peer,
     receiver: mpsc::Receiver<Bytes>,
 }
 
-impl Line {
+impl PeerLink {
     async fn run(mut self) {
         loop {
             let Some(links) = self.links.upgrade() else {
@@ -129,14 +129,14 @@
             drop(links);
             let role = credential::Role::Fleet;
             match client::Client::connect(self.peer.address, role, &secret).await {
-                Ok(client) => self.carry(&client).await,
+                Ok(client) => self.send_messages(&client).await,
                 Err(cause) => {
-                    spdlog::debug!("agreement: no line to {}: {cause}", self.peer);
+                    spdlog::debug!("agreement: could not connect to {}: {cause}", self.peer);
                     // What waited is old by now; newer messages stand for it.
                     while self.receiver.try_recv().is_ok() {}
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             if self.receiver.is_closed() {
                 return;
             }
@@ -145,11 +145,11 @@
 
     /// Sends until the connection fails. A call without an answer in time means
     /// that the connection may be silently dead, so it is given up.
-    async fn carry(&mut self, client: &client::Client) {
-        let mut under_way = FuturesUnordered::new();
+    async fn send_messages(&mut self, client: &client::Client) {
+        let mut in_flight = FuturesUnordered::new();
         loop {
             tokio::select! {
-                message = self.receiver.recv(), if under_way.len() < WINDOW => {
+                message = self.receiver.recv(), if in_flight.len() < MAX_IN_FLIGHT_MESSAGES => {
                     let Some(message) = message else {
                         return;
                     };
@@ -157,13 +157,13 @@
                         from: self.own.clone(),
                         message: base64::Engine::encode(&base64::prelude::BASE64_STANDARD, message),
                     };
-                    under_way.push(async move {
-                        client.call::<_, ()>(method::AGREEMENT, &packet, DEADLINE).await
+                    in_flight.push(async move {
+                        client.call::<_, ()>(method::AGREEMENT, &packet, MESSAGE_TIMEOUT).await
                     });
                 }
-                Some(outcome) = under_way.next() => {
+                Some(outcome) = in_flight.next() => {
                     if let Err(cause) = outcome {
-                        spdlog::debug!("agreement: lost the line to {}: {cause}", self.peer);
+                        spdlog::debug!("agreement: lost the connection to {}: {cause}", self.peer);
                         return;
                     }
                 }
@@ -174,7 +174,7 @@
 
 /// Takes the messages of other control processes into `replica`.
 #[must_use]
-pub(crate) fn receive(
+pub(crate) fn register(
     builder: server::Builder,
     replica: &Arc<replica::Replica>,
 ) -> server::Builder {
@@ -184,9 +184,9 @@
         let replica = Arc::clone(&replica);
         async move {
             let decoded = base64::Engine::decode(&base64::prelude::BASE64_STANDARD, packet.message);
-            let wrong =
+            let malformed =
                 |cause: base64::DecodeError| server::Fault::new(method::REFUSED, cause.to_string());
-            replica.deliver(&packet.from, Bytes::from(decoded.map_err(wrong)?));
+            replica.deliver(&packet.from, Bytes::from(decoded.map_err(malformed)?));
             Ok(())
         }
     })
--- a/crates/cranberrygap-control/src/metric.rs
+++ b/crates/cranberrygap-control/src/metric.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 
 /// Time between two lines that sum up what was done.
-const SUMMARY: Duration = Duration::from_secs(5);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Whether the process leads.
 pub const LEADS: &str = "leads";
@@ -39,7 +39,7 @@
 pub(crate) const PROCESSOR: &str = "processor";
 
 /// Methods that are told apart; all others are one.
-const METHODS: [&str; 8] = [
+const TAGGED_METHODS: [&str; 8] = [
     method::VIEW_CONFIRM,
     method::SHARE_RENEW,
     method::CLAIM_OPEN,
@@ -163,18 +163,18 @@
 #[derive(Debug, Clone)]
 pub struct Recorder {
     client: Arc<StatsdClient>,
-    sums: Arc<Mutex<Sums>>,
+    summary: Arc<Mutex<Summary>>,
 }
 
 /// What was counted since the last line.
 #[derive(Debug, Default)]
-struct Sums {
+struct Summary {
     counts: BTreeMap<(&'static str, &'static str), usize>,
-    times: BTreeMap<&'static str, Times>,
+    timings: BTreeMap<&'static str, Timing>,
 }
 
 #[derive(Debug, Default)]
-struct Times {
+struct Timing {
     count: usize,
     longest: Duration,
 }
@@ -183,8 +183,8 @@
     /// Counts to `client`.
     #[must_use]
     pub fn new(client: Arc<StatsdClient>) -> Self {
-        let sums = Arc::default();
-        Self { client, sums }
+        let summary = Arc::default();
+        Self { client, summary }
     }
 
     /// Counts nothing.
@@ -195,7 +195,7 @@
     }
 
     pub(crate) fn count(&self, name: &'static str, tag: &'static str, count: usize) {
-        *self.sums.lock().counts.entry((name, tag)).or_default() += count;
+        *self.summary.lock().counts.entry((name, tag)).or_default() += count;
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         let metric = self.client.count_with_tags(name, count);
         metric.with_tag_value(tag).send();
@@ -207,42 +207,46 @@
     }
 
     pub(crate) fn time(&self, name: &'static str, time: Duration) {
-        let mut sums = self.sums.lock();
-        let times = sums.times.entry(name).or_default();
-        times.count += 1;
-        times.longest = times.longest.max(time);
-        drop(sums);
+        let mut summary = self.summary.lock();
+        let timing = summary.timings.entry(name).or_default();
+        timing.count += 1;
+        timing.longest = timing.longest.max(time);
+        drop(summary);
         // A metric that cannot be sent is lost.
         let _lost = self.client.time(name, time);
     }
 
     /// Does `work` and counts its time.
-    pub(crate) fn work<R>(&self, kind: Work, work: impl FnOnce() -> R) -> R {
-        let begin = processor::thread();
+    pub(crate) fn measure<R>(&self, kind: Work, work: impl FnOnce() -> R) -> R {
+        let start = processor::thread();
         let result = work();
-        let spent = processor::thread().saturating_sub(begin);
+        let spent = processor::thread().saturating_sub(start);
         self.count(WORK, kind.name(), nanos(spent));
         result
     }
 
     /// Counts a call that was answered and the processor time that it took.
-    pub(crate) fn call(&self, method: &str, spent: Duration) {
-        let method = METHODS.iter().find(|known| **known == method);
+    pub(crate) fn record_call(&self, method: &str, spent: Duration) {
+        let method = TAGGED_METHODS.iter().find(|known| **known == method);
         let method = method.copied().unwrap_or("other");
         self.count(CALLS, method, 1);
         self.count(CALL_WORK, method, nanos(spent));
     }
 
     /// Writes a line with what was done, every few seconds until the process stops.
-    pub(crate) async fn watch(self) {
+    pub(crate) async fn log_summaries(self) {
         let mut before = processor::process();
         loop {
-            tokio::time::sleep(SUMMARY).await;
+            tokio::time::sleep(SUMMARY_INTERVAL).await;
             let now = processor::process();
             self.count(PROCESSOR, "all", nanos(now.saturating_sub(before)));
             before = now;
-            let sums = std::mem::take(&mut *self.sums.lock());
-            spdlog::info!("control: in {} s: {}", SUMMARY.as_secs(), sums.line());
+            let summary = std::mem::take(&mut *self.summary.lock());
+            spdlog::info!(
+                "control: in {} s: {}",
+                SUMMARY_INTERVAL.as_secs(),
+                summary.to_line()
+            );
         }
     }
 }
@@ -251,8 +255,8 @@
     usize::try_from(span.as_nanos()).unwrap_or(usize::MAX)
 }
 
-impl Sums {
-    fn line(&self) -> String {
+impl Summary {
+    fn to_line(&self) -> String {
         const NANOS_IN_MICRO: usize = 1_000;
         let mut parts = Vec::new();
         for ((name, tag), count) in &self.counts {
@@ -263,8 +267,8 @@
                 _ => format!("{name} {tag} {count}"),
             });
         }
-        for (name, times) in &self.times {
-            let (count, longest) = (times.count, times.longest.as_millis());
+        for (name, timing) in &self.timings {
+            let (count, longest) = (timing.count, timing.longest.as_millis());
             parts.push(format!("{name} {count} of {longest} ms at most"));
         }
         parts.join(", ")
--- a/crates/cranberrygap-control/src/operators/group.rs
+++ b/crates/cranberrygap-control/src/operators/group.rs
@@ -13,33 +13,36 @@
 use crate::replica;
 
 /// Time for a learner to catch up before it votes.
-const CATCH_UP: Duration = Duration::from_secs(30);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time between two tries to let it vote.
-const PAUSE: Duration = Duration::from_millis(200);
+const PROMOTE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A member of the group as the replica shows it.
 #[derive(Debug, Deserialize)]
-struct Shown {
+struct Member {
     peer: address::Peer,
     voter: bool,
 }
 
-pub(super) async fn list(parts: &process::Parts, (): ()) -> Result<operator::Group, server::Fault> {
-    let status = parts.desk.proposer.check_leads()?;
-    let dump = parts.replica.dump().await;
-    let shown: Vec<Shown> =
+pub(super) async fn list(
+    shared: &process::Shared,
+    (): (),
+) -> Result<operator::Group, server::Fault> {
+    let status = shared.context.proposer.check_leads()?;
+    let dump = shared.replica.dump().await;
+    let members: Vec<Member> =
         serde_json::from_value(dump["state"]["members"].clone()).unwrap_or_default();
-    let (voters, learners): (Vec<Shown>, Vec<Shown>) =
-        shown.into_iter().partition(|member| member.voter);
-    let names = |members: Vec<Shown>| {
+    let (voters, learners): (Vec<Member>, Vec<Member>) =
+        members.into_iter().partition(|member| member.voter);
+    let names = |members: Vec<Member>| {
         members
             .into_iter()
             .map(|member| member.peer.instance)
             .collect()
     };
-    let members = parts
-        .desk
+    let members = shared
+        .context
         .state
         .read(|fleet| fleet.members.iter().cloned().collect());
     Ok(operator::Group {
@@ -54,63 +57,69 @@
 /// Adds a control process as a learner, and lets it vote once it has caught up.
 /// Both steps may be repeated, so an operator whose answer was lost asks again.
 pub(super) async fn add(
-    parts: &process::Parts,
+    shared: &process::Shared,
     join: operator::Join,
 ) -> Result<operator::Group, server::Fault> {
-    let group = list(parts, ()).await?;
+    let group = list(shared, ()).await?;
     let instance = &join.peer.instance;
     if group.voters.contains(instance) {
-        return note(parts, join.author, instance, group::Change::Added).await;
+        return record_change(shared, join.author, instance, group::Change::Added).await;
     }
     if !group.learners.contains(instance) {
-        parts
+        shared
             .replica
             .add_learner(instance)
             .await
-            .map_err(|cause| fault(&cause))?;
-        info!("group: {instance} learns, asked by {}", join.author.by);
+            .map_err(|cause| to_fault(&cause))?;
+        info!(
+            "group: added {instance} as a learner, asked by {}",
+            join.author.by
+        );
     }
-    promote(parts, instance).await?;
-    info!("group: {instance} votes, asked by {}", join.author.by);
-    note(parts, join.author, instance, group::Change::Added).await
+    promote(shared, instance).await?;
+    info!(
+        "group: promoted {instance} to a voter, asked by {}",
+        join.author.by
+    );
+    record_change(shared, join.author, instance, group::Change::Added).await
 }
 
-async fn promote(parts: &process::Parts, instance: &id::Instance) -> Result<(), server::Fault> {
-    let deadline = tokio::time::Instant::now() + CATCH_UP;
+async fn promote(shared: &process::Shared, instance: &id::Instance) -> Result<(), server::Fault> {
+    let deadline = tokio::time::Instant::now() + CATCH_UP_TIMEOUT;
     loop {
-        match parts.replica.promote(instance).await {
+        match shared.replica.promote(instance).await {
             Ok(()) => return Ok(()),
             Err(replica::Error::Refused(_)) if tokio::time::Instant::now() < deadline => {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(PROMOTE_RETRY_DELAY).await;
             }
-            Err(cause) => return Err(fault(&cause)),
+            Err(cause) => return Err(to_fault(&cause)),
         }
     }
 }
 
 pub(super) async fn remove(
-    parts: &process::Parts,
+    shared: &process::Shared,
     leave: operator::Leave,
 ) -> Result<operator::Group, server::Fault> {
-    let group = list(parts, ()).await?;
+    let group = list(shared, ()).await?;
     let instance = &leave.instance;
     if !group.voters.contains(instance) && !group.learners.contains(instance) {
-        return note(parts, leave.author, instance, group::Change::Removed).await;
+        return record_change(shared, leave.author, instance, group::Change::Removed).await;
     }
     if group.leader.as_ref() == Some(instance) {
-        let sentence = "it leads; stop it with SIGTERM first, it then hands over leadership";
-        return Err(server::Fault::new(method::REFUSED, sentence));
+        let message = "it is the leader; stop it with SIGTERM first, which transfers leadership";
+        return Err(server::Fault::new(method::REFUSED, message));
     }
-    parts
+    shared
         .replica
-        .remove(instance)
+        .remove_member(instance)
         .await
-        .map_err(|cause| fault(&cause))?;
+        .map_err(|cause| to_fault(&cause))?;
     info!(
         "group: {instance} was removed, asked by {}",
         leave.author.by
     );
-    note(parts, leave.author, instance, group::Change::Removed).await
+    record_change(shared, leave.author, instance, group::Change::Removed).await
 }
 
 /// Notes a change of the group for history and trail.
@@ -118,8 +127,8 @@
 /// A leader may fail between the change and its note. The request that is sent again finds
 /// the work done, and is noted then; one that was noted already is not noted twice, since
 /// its change id is known.
-async fn note(
-    parts: &process::Parts,
+async fn record_change(
+    shared: &process::Shared,
     author: operator::Author,
     instance: &id::Instance,
     change: group::Change,
@@ -129,19 +138,19 @@
         instance: instance.clone(),
         change,
     };
-    let proposer = &parts.desk.proposer;
+    let proposer = &shared.context.proposer;
     proposer.propose(command::Command::Group(step)).await?;
-    list(parts, ()).await
+    list(shared, ()).await
 }
 
-fn fault(cause: &replica::Error) -> server::Fault {
-    let sentence = cause.to_string();
+fn to_fault(cause: &replica::Error) -> server::Fault {
+    let message = cause.to_string();
     match cause {
         replica::Error::NotLeader { leader } => {
-            server::Fault::new(method::NOT_LEADER, sentence).with_data(serde_json::json!(leader))
+            server::Fault::new(method::NOT_LEADER, message).with_data(serde_json::json!(leader))
         }
-        replica::Error::Unknown => server::Fault::new(method::UNKNOWN_OUTCOME, sentence),
-        replica::Error::Stopping => server::Fault::new(method::NO_QUORUM, sentence),
-        _ => server::Fault::new(method::REFUSED, sentence),
+        replica::Error::Unknown => server::Fault::new(method::UNKNOWN_OUTCOME, message),
+        replica::Error::Stopping => server::Fault::new(method::NO_QUORUM, message),
+        _ => server::Fault::new(method::REFUSED, message),
     }
 }
--- a/crates/cranberrygap-control/src/orders.rs
+++ b/crates/cranberrygap-control/src/orders.rs
@@ -19,85 +19,85 @@
 use crate::proposer;
 use crate::replicated;
 
-mod platform;
+mod endpoint_client;
 
-pub(crate) use platform::{Http, Platform};
+pub(crate) use endpoint_client::{EndpointClient, Http};
 
 /// Time between two looks at reports and unanswered orders.
-const PERIOD: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Looks from one plan to the next.
-const LOOKS_A_PLAN: u64 = 4;
+const TICKS_PER_PLAN: u64 = 4;
 
 /// Half-life of the demand forecast, by measurement (`docs/EXPERIMENTS.md`).
-const HALF_LIFE: duration::Span = duration::Span::from_secs(60);
+const DEMAND_HALF_LIFE: duration::Span = duration::Span::from_secs(60);
 
 /// Tokens a second of one accelerator within the latency targets, and how many
 /// fewer a runner serves for each GiB of active weights. Both are those of the
 /// bench's engines until engines are measured.
-const TOKENS_PER_ACCELERATOR: f64 = 600.0;
-const TOKENS_PER_GIB: f64 = 8.0;
+const TOKENS_PER_SECOND_PER_ACCELERATOR: f64 = 600.0;
+const TOKENS_PER_SECOND_LOST_PER_GIB: f64 = 8.0;
 
 /// Time after which an order without proven result is sent again.
-const REPEAT_AFTER: duration::Span = duration::Span::from_secs(2);
+const RESEND_AFTER: duration::Span = duration::Span::from_secs(2);
 
 /// Longest time for which a load keeps its slot at the store.
-const LONGEST_LOAD: duration::Span = duration::Span::from_secs(60);
+const LOAD_SLOT_TIMEOUT: duration::Span = duration::Span::from_secs(60);
 
 /// Things that may wait for the task.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// Demand that entries counted, and the leader's dump.
 #[derive(Debug)]
-pub(crate) struct Orders {
+pub(crate) struct Coordinator {
     state: Arc<replicated::State>,
     proposer: proposer::Proposer,
-    platform: Arc<dyn Platform>,
+    endpoint_client: Arc<dyn EndpointClient>,
     clock: clock::Clock,
     demand: Mutex<Box<dyn forecast::Estimator>>,
-    shown: Mutex<serde_json::Value>,
+    last_dump: Mutex<serde_json::Value>,
 }
 
 /// One leader's term.
 #[derive(Debug)]
-struct Leadership {
+struct TermState {
     fence: number::Fence,
     /// Tells it from another one in the same term, whose questions count anew.
-    since: duration::Instant,
+    start: duration::Instant,
     executor: orders::Executor,
-    listed: Vec<endpoint::Weights>,
+    listed_models: Vec<endpoint::Weights>,
     preferred: plan::assign::Preferred,
-    looks: u64,
+    ticks: u64,
 }
 
 /// News for the task, of the term with this start.
 #[derive(Debug)]
-enum News {
+enum Event {
     Input(duration::Instant, orders::Input),
     /// Whether a proposal was committed is not known.
-    Unknown(duration::Instant),
+    OutcomeUnknown(duration::Instant),
 }
 
-impl Orders {
+impl Coordinator {
     pub(crate) fn new(
         state: Arc<replicated::State>,
         proposer: proposer::Proposer,
-        platform: Arc<dyn Platform>,
+        endpoint_client: Arc<dyn EndpointClient>,
         clock: clock::Clock,
     ) -> Self {
-        let estimator = forecast::decayed::Decayed::new(HALF_LIFE);
+        let estimator = forecast::decayed::Decayed::new(DEMAND_HALF_LIFE);
         Self {
             state,
             proposer,
-            platform,
+            endpoint_client,
             clock,
             demand: Mutex::new(Box::new(estimator)),
-            shown: Mutex::default(),
+            last_dump: Mutex::default(),
         }
     }
 
     /// Counts demand that an entry reports.
-    pub(crate) fn count(&self, demands: &[view::Demand]) {
+    pub(crate) fn record_demand(&self, demands: &[view::Demand]) {
         let now = self.clock.now();
         let mut estimator = self.demand.lock();
         for demand in demands {
@@ -107,42 +107,42 @@
 
     /// The ledger for people.
     pub(crate) fn dump(&self) -> serde_json::Value {
-        self.shown.lock().clone()
+        self.last_dump.lock().clone()
     }
 
     /// Gives orders until the process stops.
-    pub(crate) async fn watch(self: Arc<Self>) {
-        let (sender, mut receiver) = mpsc::channel(QUEUE);
-        let mut ticker = tokio::time::interval(PERIOD);
+    pub(crate) async fn run(self: Arc<Self>) {
+        let (events, mut receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let mut ticker = tokio::time::interval(TICK_INTERVAL);
         ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut held: Option<Leadership> = None;
+        let mut current: Option<TermState> = None;
         loop {
             tokio::select! {
-                news = receiver.recv() => {
-                    if let Some(news) = news {
-                        self.hear(&sender, &mut held, news);
+                event = receiver.recv() => {
+                    if let Some(event) = event {
+                        self.handle(&events, &mut current, event);
                     }
                 }
                 _ = ticker.tick() => {
-                    held = self.take_office(held).await;
-                    if let Some(leadership) = &mut held {
-                        self.look(&sender, leadership);
+                    current = self.enter_term(current).await;
+                    if let Some(term) = &mut current {
+                        self.tick(&events, term);
                     }
-                    self.show(held.as_ref());
+                    self.update_dump(current.as_ref());
                 }
             }
         }
     }
 
     /// Keeps, takes or leaves leadership, as this process leads or does not.
-    async fn take_office(&self, held: Option<Leadership>) -> Option<Leadership> {
+    async fn enter_term(&self, current: Option<TermState>) -> Option<TermState> {
         let status = self.proposer.status();
         if !status.leads {
             return None;
         }
         let fence = number::Fence(status.term.0);
-        if let Some(leadership) = held.filter(|leadership| leadership.fence == fence) {
-            return Some(leadership);
+        if let Some(term) = current.filter(|term| term.fence == fence) {
+            return Some(term);
         }
         // Once this record is committed, everything that predecessors logged is
         // in the state, and what they propose from now on is not taken.
@@ -151,190 +151,188 @@
             spdlog::warn!("orders: could not take leadership: {}", fault.message);
             return None;
         }
-        spdlog::info!("orders: gives orders under fence {fence}");
-        Some(self.state.read(|fleet| self.leadership(fleet, fence)))
+        spdlog::info!("orders: leads with fencing token {fence}");
+        Some(self.state.read(|fleet| self.new_term(fleet, fence)))
     }
 
-    fn leadership(&self, fleet: &fleet::Fleet, fence: number::Fence) -> Leadership {
+    fn new_term(&self, fleet: &fleet::Fleet, fence: number::Fence) -> TermState {
         let defaults = fleet.defaults();
         let ledger = ledger::Ledger::new(fleet.orders.clone(), defaults.cache_reserve);
         let limits = orders::limit::Limits::builder()
             .loads_per_second(defaults.store_rate)
             .concurrent_loads(defaults.store_parallel as usize)
             .concurrent_adapter_loads(defaults.adapter_parallel as usize)
-            .resend_after(REPEAT_AFTER)
-            .load_slot_timeout(LONGEST_LOAD)
+            .resend_after(RESEND_AFTER)
+            .load_slot_timeout(LOAD_SLOT_TIMEOUT)
             .build();
-        let listed = fleet.catalogue.models().to_vec();
-        let catalogue = catalogue::Catalogue::new(&listed);
+        let listed_models = fleet.catalogue.models().to_vec();
+        let catalogue = catalogue::Catalogue::new(&listed_models);
         let now = self.clock.now();
         let lease = leadership::LEASE;
-        Leadership {
+        TermState {
             executor: orders::Executor::new(now, ledger, catalogue, limits, fence, lease),
             fence,
-            since: now,
-            listed,
+            start: now,
+            listed_models,
             preferred: plan::assign::Preferred::new(),
-            looks: 0,
+            ticks: 0,
         }
     }
 
-    fn hear(&self, sender: &mpsc::Sender<News>, held: &mut Option<Leadership>, news: News) {
-        match news {
-            News::Input(since, input) => {
-                if let Some(leadership) =
-                    held.as_mut().filter(|leadership| leadership.since == since)
-                {
-                    self.step(sender, leadership, input);
+    fn handle(&self, events: &mpsc::Sender<Event>, current: &mut Option<TermState>, event: Event) {
+        match event {
+            Event::Input(start, input) => {
+                if let Some(term) = current.as_mut().filter(|term| term.start == start) {
+                    self.step(events, term, input);
                 }
             }
-            News::Unknown(since) => {
+            Event::OutcomeUnknown(start) => {
                 // It may be committed yet, or not. Starting leadership anew reads
                 // from the log what became of it.
-                held.take_if(|leadership| leadership.since == since);
+                current.take_if(|term| term.start == start);
             }
         }
     }
 
-    fn step(&self, sender: &mpsc::Sender<News>, leadership: &mut Leadership, input: orders::Input) {
-        let outputs = leadership.executor.step(self.clock.now(), input);
+    fn step(&self, events: &mpsc::Sender<Event>, term: &mut TermState, input: orders::Input) {
+        let outputs = term.executor.step(self.clock.now(), input);
         for output in outputs {
             match output {
-                orders::Output::Propose(record) => self.propose(sender, leadership.since, record),
-                orders::Output::Send(order) => self.send(sender, leadership, order),
+                orders::Output::Propose(record) => self.propose(events, term.start, record),
+                orders::Output::Send(order) => self.send_order(events, term, order),
             }
         }
     }
 
-    fn look(&self, sender: &mpsc::Sender<News>, leadership: &mut Leadership) {
-        self.state.read(|fleet| leadership.follow(fleet));
-        let names: Vec<id::Endpoint> = leadership
-            .executor
-            .ledger()
-            .accounts()
-            .keys()
-            .cloned()
-            .collect();
-        for name in names {
-            self.ask(sender, leadership, &name);
+    fn tick(&self, events: &mpsc::Sender<Event>, term: &mut TermState) {
+        self.state.read(|fleet| term.update_from_state(fleet));
+        let endpoints: Vec<id::Endpoint> =
+            term.executor.ledger().accounts().keys().cloned().collect();
+        for name in endpoints {
+            self.fetch_report(events, term, &name);
         }
-        if leadership.looks.is_multiple_of(LOOKS_A_PLAN) {
-            let moves = self.plan(leadership);
-            self.step(sender, leadership, orders::Input::Plan(moves));
+        if term.ticks.is_multiple_of(TICKS_PER_PLAN) {
+            let moves = self.plan_moves(term);
+            self.step(events, term, orders::Input::Plan(moves));
         }
-        leadership.looks += 1;
-        self.step(sender, leadership, orders::Input::Tick);
+        term.ticks += 1;
+        self.step(events, term, orders::Input::Tick);
     }
 
-    fn plan(&self, leadership: &mut Leadership) -> Vec<plan::Move> {
+    fn plan_moves(&self, term: &mut TermState) -> Vec<plan::Move> {
         let rates = self.demand.lock().rates(self.clock.now());
         let copies = self.state.read(|fleet| fleet.defaults().copies);
         let settings = plan::Settings::builder()
-            .demand_per_accelerator(TOKENS_PER_ACCELERATOR)
-            .demand_per_gib(TOKENS_PER_GIB)
+            .demand_per_accelerator(TOKENS_PER_SECOND_PER_ACCELERATOR)
+            .demand_per_gib(TOKENS_PER_SECOND_LOST_PER_GIB)
             .copies(copies as usize)
             .build();
-        let executor = &leadership.executor;
+        let executor = &term.executor;
         let (ledger, catalogue) = (executor.ledger(), executor.catalogue());
-        let plan = plan::plan(ledger, catalogue, &rates, &leadership.preferred, &settings);
-        leadership.preferred = plan.preferred;
+        let plan = plan::plan(ledger, catalogue, &rates, &term.preferred, &settings);
+        term.preferred = plan.preferred;
         plan.moves
     }
 
     fn propose(
         &self,
-        sender: &mpsc::Sender<News>,
-        since: duration::Instant,
+        events: &mpsc::Sender<Event>,
+        start: duration::Instant,
         record: journal::Record,
     ) {
         let proposer = self.proposer.clone();
-        let sender = sender.clone();
+        let events = events.clone();
         tokio::spawn(async move {
             let outcome = proposer
                 .propose(command::Command::Order(record.clone()))
                 .await;
-            let news = match (outcome, record) {
-                (Ok(_), record) => News::Input(since, orders::Input::Committed(record)),
+            let event = match (outcome, record) {
+                (Ok(_), record) => Event::Input(start, orders::Input::Committed(record)),
                 (Err(fault), journal::Record::Intended { order })
                     if fault.code != method::UNKNOWN_OUTCOME =>
                 {
-                    News::Input(since, orders::Input::NotCommitted(order))
+                    Event::Input(start, orders::Input::NotCommitted(order))
                 }
-                (Err(_), _) => News::Unknown(since),
+                (Err(_), _) => Event::OutcomeUnknown(start),
             };
             // The task ends only with the process.
-            drop(sender.send(news).await);
+            drop(events.send(event).await);
         });
     }
 
-    fn send(&self, sender: &mpsc::Sender<News>, leadership: &Leadership, order: endpoint::Order) {
-        let Some(address) = leadership.address(&order.endpoint) else {
+    fn send_order(&self, events: &mpsc::Sender<Event>, term: &TermState, order: endpoint::Order) {
+        let Some(address) = term.address(&order.endpoint) else {
             return;
         };
         spdlog::info!(
-            "orders: {} to {}: {:?}",
+            "orders: sends {} to {}: {:?}",
             order.order,
             order.endpoint,
             order.action
         );
-        let platform = Arc::clone(&self.platform);
-        let sender = sender.clone();
-        let since = leadership.since;
+        let endpoint_client = Arc::clone(&self.endpoint_client);
+        let events = events.clone();
+        let start = term.start;
         tokio::spawn(async move {
-            match platform.order(address, &order).await {
+            match endpoint_client.send_order(address, &order).await {
                 Ok(verdict) => {
-                    let news = News::Input(since, orders::Input::Answered(verdict));
-                    drop(sender.send(news).await);
+                    let event = Event::Input(start, orders::Input::Answered(verdict));
+                    drop(events.send(event).await);
                 }
                 // It may have arrived all the same; it is sent again.
-                Err(cause) => spdlog::warn!("orders: {} unanswered: {cause}", order.order),
+                Err(cause) => spdlog::warn!("orders: no answer to {}: {cause}", order.order),
             }
         });
     }
 
-    fn ask(&self, sender: &mpsc::Sender<News>, leadership: &mut Leadership, name: &id::Endpoint) {
-        let Some(address) = leadership.address(name) else {
+    fn fetch_report(
+        &self,
+        events: &mpsc::Sender<Event>,
+        term: &mut TermState,
+        name: &id::Endpoint,
+    ) {
+        let Some(address) = term.address(name) else {
             return;
         };
-        let Some(ticket) = leadership.executor.ledger_mut().issue_ticket(name) else {
+        let Some(ticket) = term.executor.ledger_mut().issue_ticket(name) else {
             return;
         };
-        let platform = Arc::clone(&self.platform);
-        let sender = sender.clone();
-        let since = leadership.since;
+        let endpoint_client = Arc::clone(&self.endpoint_client);
+        let events = events.clone();
+        let start = term.start;
         let name = name.clone();
         tokio::spawn(async move {
             // Silence is noticed by the endpoint's heartbeats.
-            let Ok(report) = platform.report(address).await else {
+            let Ok(report) = endpoint_client.fetch_report(address).await else {
                 return;
             };
             if report.endpoint != name {
                 return;
             }
-            let news = News::Input(since, orders::Input::Reported(ticket, report));
-            drop(sender.send(news).await);
+            let event = Event::Input(start, orders::Input::Reported(ticket, report));
+            drop(events.send(event).await);
         });
     }
 
-    fn show(&self, held: Option<&Leadership>) {
-        *self.shown.lock() = held.map_or(serde_json::Value::Null, Leadership::dump);
+    fn update_dump(&self, current: Option<&TermState>) {
+        *self.last_dump.lock() = current.map_or(serde_json::Value::Null, TermState::dump);
     }
 }
 
-impl Leadership {
+impl TermState {
     /// Takes over what the state says of endpoints and the store.
-    fn follow(&mut self, fleet: &fleet::Fleet) {
+    fn update_from_state(&mut self, fleet: &fleet::Fleet) {
         let ledger = self.executor.ledger_mut();
-        let mut known: BTreeSet<id::Endpoint> = BTreeSet::new();
+        let mut names: BTreeSet<id::Endpoint> = BTreeSet::new();
         for endpoint in fleet.endpoints.iter() {
             ledger.update_endpoint(&endpoint);
-            known.insert(endpoint.announcement.endpoint);
+            names.insert(endpoint.announcement.endpoint);
         }
-        ledger.retain(|name| known.contains(name));
-        if fleet.catalogue.models() != self.listed {
-            self.listed = fleet.catalogue.models().to_vec();
+        ledger.retain(|name| names.contains(name));
+        if fleet.catalogue.models() != self.listed_models {
+            self.listed_models = fleet.catalogue.models().to_vec();
             self.executor
-                .set_catalogue(catalogue::Catalogue::new(&self.listed));
+                .set_catalogue(catalogue::Catalogue::new(&self.listed_models));
         }
     }
 
--- a/crates/cranberrygap-control/src/permission.rs
+++ b/crates/cranberrygap-control/src/permission.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Permissions {
     proposer: proposer::Proposer,
     clock: clock::Clock,
-    held: Mutex<Option<(number::Term, permission::Table)>>,
+    table: Mutex<Option<(number::Term, permission::Table)>>,
 }
 
 impl Permissions {
@@ -22,30 +22,30 @@
         Self {
             proposer,
             clock,
-            held: Mutex::new(None),
+            table: Mutex::new(None),
         }
     }
 
     /// Gives, renews or ends a leave; true when the suspect may run.
-    pub(crate) fn take(&self, asked: &claim::Leave) -> Result<bool, server::Fault> {
+    pub(crate) fn handle(&self, request: &claim::Leave) -> Result<bool, server::Fault> {
         let term = self.proposer.check_leads()?.term;
         let now = self.clock.now();
-        let mut held = self.held.lock();
-        let table = match held.take() {
-            Some((known, table)) if known == term => table,
+        let mut current = self.table.lock();
+        let table = match current.take() {
+            Some((table_term, table)) if table_term == term => table,
             _ => permission::Table::new(now),
         };
-        let (_, table) = held.insert((term, table));
-        let leave = permission::Permission {
-            fingerprint: asked.fingerprint.clone(),
-            instance: asked.instance.clone(),
-            boot: asked.boot,
+        let (_, table) = current.insert((term, table));
+        let permission = permission::Permission {
+            fingerprint: request.fingerprint.clone(),
+            instance: request.instance.clone(),
+            boot: request.boot,
             until: now,
         };
-        if asked.ends {
-            table.release(&asked.endpoint, &leave);
+        if request.ends {
+            table.release(&request.endpoint, &permission);
             return Ok(false);
         }
-        Ok(table.try_grant(now, &asked.endpoint, &leave))
+        Ok(table.try_grant(now, &request.endpoint, &permission))
     }
 }
--- a/crates/cranberrygap-control/src/process.rs
+++ b/crates/cranberrygap-control/src/process.rs
@@ -19,11 +19,11 @@
 use crate::permission;
 use crate::proposer;
 use crate::public;
+use crate::reconciler;
 use crate::replica;
 use crate::replicated;
 use crate::residency;
 use crate::shares;
-use crate::steward;
 use crate::store;
 use crate::transport;
 
@@ -59,17 +59,17 @@
 
 /// What the listeners share.
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Shared {
     settings: settings::Control,
     clock: clock::Clock,
-    pub(crate) desk: Arc<peers::Desk>,
+    pub(crate) context: Arc<peers::Context>,
     pub(crate) replica: Arc<replica::Replica>,
 }
 
 /// A running control process.
 #[derive(Debug)]
 pub struct Process {
-    parts: Arc<Parts>,
+    shared: Arc<Shared>,
     links: Arc<links::Links>,
     peers: server::Handle,
     admin: server::Handle,
@@ -100,35 +100,36 @@
     pub async fn start_with(
         mut settings: settings::Control,
         secrets: Secrets,
-        runners: Arc<dyn residency::RunnerClient>,
+        runner_client: Arc<dyn residency::RunnerClient>,
         metrics: metric::Recorder,
     ) -> Result<Self, Error> {
-        settle(&mut settings);
-        let own = own(&settings);
-        let shown = secrets.fleet.first().cloned().ok_or(Error::NoSecret)?;
-        let links = links::Links::new(own.clone(), settings.group.voters.clone(), shown);
+        complete_settings(&mut settings);
+        let own = own_peer(&settings);
+        let secret = secrets.fleet.first().cloned().ok_or(Error::NoSecret)?;
+        let links = links::Links::new(own.clone(), settings.group.voters.clone(), secret);
         let state = Arc::new(replicated::State::new(metrics.clone()));
         let replica = start_replica(&settings, own, &state, &links)?;
-        let platform = orders::Http::new().map_err(|cause| Error::Endpoints(cause.to_string()))?;
-        let parts = Arc::new(Parts::new(
+        let endpoint_client =
+            orders::Http::new().map_err(|cause| Error::Endpoints(cause.to_string()))?;
+        let shared = Arc::new(Shared::new(
             settings,
             state,
             replica,
-            Arc::new(platform),
-            runners,
+            Arc::new(endpoint_client),
+            runner_client,
             metrics,
         ));
-        let peers = listen_peers(&parts, secrets.fleet).await?;
-        let admin = listen_admin(&parts, secrets.operators).await?;
-        let tasks = parts.spawn_tasks()?;
+        let peers = listen_peers(&shared, secrets.fleet).await?;
+        let admin = listen_admin(&shared, secrets.operators).await?;
+        let tasks = shared.spawn_tasks()?;
         spdlog::info!(
             "control: {} serves peers at {} and operators at {}",
-            parts.settings.control.instance,
+            shared.settings.control.instance,
             peers.address(),
             admin.address()
         );
         Ok(Self {
-            parts,
+            shared,
             links,
             peers,
             admin,
@@ -151,19 +152,19 @@
     /// What a translator of operators' and endpoints' calls works with.
     #[must_use]
     pub fn public_api(&self) -> public::Api {
-        public::Api::new(Arc::clone(&self.parts.desk))
+        public::Api::new(Arc::clone(&self.shared.context))
     }
 
     /// Whether this process leads.
     #[must_use]
     pub fn leads(&self) -> bool {
-        self.parts.desk.proposer.status().leads
+        self.shared.context.proposer.status().leads
     }
 
     /// Changes the secrets while the process runs.
     pub fn replace_secrets(&self, secrets: Secrets) {
-        if let Some(shown) = secrets.fleet.first() {
-            self.links.replace_secret(shown.clone());
+        if let Some(secret) = secrets.fleet.first() {
+            self.links.replace_secret(secret.clone());
         }
         let fleet = credential::Role::Fleet;
         self.peers.replace_secrets(fleet, secrets.fleet);
@@ -173,20 +174,20 @@
 
     /// The whole state as JSON, without secrets.
     pub async fn dump(&self) -> serde_json::Value {
-        self.parts.dump().await
+        self.shared.dump().await
     }
 
     /// Why the replica stopped taking part, if it did.
     #[must_use]
     pub fn failure(&self) -> Option<String> {
-        self.parts.replica.failure()
+        self.shared.replica.failure()
     }
 
     /// Stops as planned: hands leadership over first, so that no change and no
     /// lease waits for an election.
     pub async fn stop(self) {
         if self.leads() {
-            match self.parts.replica.transfer().await {
+            match self.shared.replica.transfer_leadership().await {
                 Ok(()) => spdlog::info!("control: handed leadership over"),
                 Err(cause) => spdlog::warn!("control: stops as leader: {cause}"),
             }
@@ -196,18 +197,18 @@
         }
         self.admin.stop();
         self.peers.stop();
-        self.parts.replica.stop().await;
+        self.shared.replica.stop().await;
         spdlog::info!("control: stopped");
     }
 }
 
-impl Parts {
+impl Shared {
     fn new(
         settings: settings::Control,
         state: Arc<replicated::State>,
         replica: Arc<replica::Replica>,
-        platform: Arc<dyn orders::Platform>,
-        runners: Arc<dyn residency::RunnerClient>,
+        endpoint_client: Arc<dyn orders::EndpointClient>,
+        runner_client: Arc<dyn residency::RunnerClient>,
         metrics: metric::Recorder,
     ) -> Self {
         let clock = clock::Clock::start();
@@ -216,86 +217,87 @@
         let detector =
             detector::Detector::new(Arc::clone(&state), proposer.clone(), clock, metrics.clone());
         let detector = Arc::new(detector);
-        let confirmations = confirmation::Confirmations::new(
+        let confirmations = confirmation::Handler::new(
             Arc::clone(&state),
             proposer.clone(),
             Arc::clone(&detector),
             metrics.clone(),
         );
         let shares =
-            shares::Shares::new(Arc::clone(&state), proposer.clone(), clock, metrics.clone());
+            shares::Coordinator::new(Arc::clone(&state), proposer.clone(), clock, metrics.clone());
         let permissions = permission::Permissions::new(proposer.clone(), clock);
-        let orders = orders::Orders::new(Arc::clone(&state), proposer.clone(), platform, clock);
-        let holder = settings.control.instance.clone();
-        let residency = residency::Residency::new(
+        let orders =
+            orders::Coordinator::new(Arc::clone(&state), proposer.clone(), endpoint_client, clock);
+        let instance = settings.control.instance.clone();
+        let residency = residency::Coordinator::new(
             Arc::clone(&state),
             proposer.clone(),
-            runners,
-            holder,
+            runner_client,
+            instance,
             clock,
             metrics.clone(),
         );
-        let desk = peers::Desk {
+        let context = peers::Context {
             state,
             proposer,
             detector,
-            confirmations,
+            confirmation_handler: confirmations,
             shares: Arc::new(shares),
             permissions,
             orders: Arc::new(orders),
             residency: Arc::new(residency),
             metrics,
-            followers: parking_lot::Mutex::default(),
-            late: peers::late(),
+            redirects: parking_lot::Mutex::default(),
+            slow_answer_log: peers::slow_answer_log(),
         };
         Self {
             settings,
             clock,
-            desk: Arc::new(desk),
+            context: Arc::new(context),
             replica,
         }
     }
 
     fn spawn_tasks(&self) -> Result<Vec<tokio::task::JoinHandle<()>>, Error> {
-        let detector = &self.desk.detector;
+        let detector = &self.context.detector;
         let mut tasks = vec![
-            tokio::spawn(Arc::clone(detector).watch()),
-            tokio::spawn(Arc::clone(&self.desk.shares).watch()),
-            tokio::spawn(self.desk.metrics.clone().watch()),
+            tokio::spawn(Arc::clone(detector).run()),
+            tokio::spawn(Arc::clone(&self.context.shares).run()),
+            tokio::spawn(self.context.metrics.clone().log_summaries()),
         ];
         // Runners are moved either by the traffic plan or by the store's list; the
         // public listener brings the former.
         if self.settings.listen.public.is_some() {
-            tasks.push(tokio::spawn(Arc::clone(&self.desk.residency).watch()));
+            tasks.push(tokio::spawn(Arc::clone(&self.context.residency).run()));
         } else {
-            tasks.push(tokio::spawn(Arc::clone(&self.desk.orders).watch()));
+            tasks.push(tokio::spawn(Arc::clone(&self.context.orders).run()));
         }
         if self.settings.group.tend {
-            let steward = steward::Steward::new(
-                Arc::clone(&self.desk.state),
-                self.desk.proposer.clone(),
+            let reconciler = reconciler::Reconciler::new(
+                Arc::clone(&self.context.state),
+                self.context.proposer.clone(),
                 Arc::clone(&self.replica),
                 self.settings.control.domain.clone(),
                 self.settings.group.losses,
             );
-            tasks.push(tokio::spawn(steward.watch()));
+            tasks.push(tokio::spawn(reconciler.run()));
         }
         let address = self.settings.store.as_ref().and_then(|store| store.address);
         if let Some(address) = address {
             let failed = |cause: store::Error| Error::Store(cause.to_string());
             let store = store::Store::new(address).map_err(failed)?;
-            tasks.push(tokio::spawn(Arc::clone(detector).follow_store(store)));
+            tasks.push(tokio::spawn(Arc::clone(detector).poll_store(store)));
         }
         Ok(tasks)
     }
 
     /// The whole state as JSON, without secrets.
     pub(crate) async fn dump(&self) -> serde_json::Value {
-        let status = self.desk.proposer.status();
+        let status = self.context.proposer.status();
         let leadership = self
-            .desk
+            .context
             .detector
-            .with_office(|now, leadership| leadership.dump(now));
+            .with_leadership(|now, leadership| leadership.dump(now));
         json!({
             "process": "cranberrygap-control",
             "instance": self.settings.control.instance,
@@ -306,10 +308,10 @@
             "term": status.term,
             "failure": self.replica.failure(),
             "leadership": leadership,
-            "orders": self.desk.orders.dump(),
-            "residency": self.desk.residency.dump().await,
-            "shares": self.desk.shares.dump().await,
-            "fleet": self.desk.state.read(cranberrygap_state::fleet::Fleet::dump),
+            "orders": self.context.orders.dump(),
+            "residency": self.context.residency.dump().await,
+            "shares": self.context.shares.dump().await,
+            "fleet": self.context.state.read(cranberrygap_state::fleet::Fleet::dump),
             "replica": self.replica.dump().await,
         })
     }
@@ -322,7 +324,7 @@
 /// them is the same everywhere. A process that starts with an empty folder after
 /// the fleet's first start has lost its disk, or is new: were it a founder, three
 /// such could found a second group beside one that holds what was accepted.
-fn settle(settings: &mut settings::Control) {
+fn complete_settings(settings: &mut settings::Control) {
     let port = u16::try_from(settings.listen.port).unwrap_or_default();
     if port != 0 {
         for voter in &mut settings.group.voters {
@@ -336,7 +338,7 @@
 
 /// This process as the others reach it: by the address in the list of voters,
 /// which may differ from where it listens, or else by where it listens.
-fn own(settings: &settings::Control) -> address::Peer {
+fn own_peer(settings: &settings::Control) -> address::Peer {
     let instance = &settings.control.instance;
     let voters = &settings.group.voters;
     let listed = voters.iter().find(|voter| voter.instance == *instance);
@@ -352,35 +354,39 @@
     state: &Arc<replicated::State>,
     links: &Arc<links::Links>,
 ) -> Result<Arc<replica::Replica>, Error> {
-    let wanted = replica::Settings::builder()
+    let replica_settings = replica::Settings::builder()
         .own(own)
         .voters(settings.group.voters.clone())
         .founds(!settings.group.join)
         .folder(PathBuf::from(settings.group.data.as_str()))
         .build();
-    let machine: Arc<dyn crate::state_machine::StateMachine> = Arc::clone(state) as _;
+    let state_machine: Arc<dyn crate::state_machine::StateMachine> = Arc::clone(state) as _;
     let transport: Arc<dyn transport::Transport> = Arc::clone(links) as _;
-    Ok(replica::Replica::start(wanted, machine, transport)?)
+    Ok(replica::Replica::start(
+        replica_settings,
+        state_machine,
+        transport,
+    )?)
 }
 
 async fn listen_peers(
-    parts: &Arc<Parts>,
+    shared: &Arc<Shared>,
     secrets: Vec<credential::Secret>,
 ) -> Result<server::Handle, server::Error> {
-    let metrics = parts.desk.metrics.clone();
+    let metrics = shared.context.metrics.clone();
     let builder = server::Builder::new()
         .secrets(credential::Role::Fleet, secrets)
-        .meter(move |method, spent| metrics.call(method, spent));
-    let builder = links::receive(builder, &parts.replica);
-    let builder = peers::offer(builder, &parts.desk);
-    builder.start(parts.settings.listen.peers).await
+        .meter(move |method, spent| metrics.record_call(method, spent));
+    let builder = links::register(builder, &shared.replica);
+    let builder = peers::register(builder, &shared.context);
+    builder.start(shared.settings.listen.peers).await
 }
 
 async fn listen_admin(
-    parts: &Arc<Parts>,
+    shared: &Arc<Shared>,
     secrets: Vec<credential::Secret>,
 ) -> Result<server::Handle, server::Error> {
     let builder = server::Builder::new().secrets(credential::Role::Operator, secrets);
-    let builder = operators::offer(builder, parts);
-    builder.start(parts.settings.listen.admin).await
+    let builder = operators::register(builder, shared);
+    builder.start(shared.settings.listen.admin).await
 }
--- a/crates/cranberrygap-control/src/proposer.rs
+++ b/crates/cranberrygap-control/src/proposer.rs
@@ -62,26 +62,26 @@
         let proposal = command::Proposal { at, command };
         let payload = serde_json::to_vec(&proposal).expect("commands have text keys only");
         let committed = self.log.propose(Bytes::from(payload)).await;
-        let committed = committed.map_err(|cause| fault(&cause))?;
-        match replicated::answer(&committed.answer) {
+        let committed = committed.map_err(|cause| to_fault(&cause))?;
+        match replicated::decode_answer(&committed.answer) {
             answer::Answer::Refused(reason) => Err(server::Fault::new(method::REFUSED, reason)),
             answer => Ok(answer),
         }
     }
 }
 
-fn fault(cause: &log::Error) -> server::Fault {
-    let sentence = cause.to_string();
+fn to_fault(cause: &log::Error) -> server::Fault {
+    let message = cause.to_string();
     match cause {
         log::Error::NotLeader { leader } => not_leader(leader.as_ref()),
-        log::Error::Unknown => server::Fault::new(method::UNKNOWN_OUTCOME, sentence),
-        log::Error::TooLarge { .. } => server::Fault::new(method::REFUSED, sentence),
-        log::Error::Full | log::Error::Stopping => server::Fault::new(method::NO_QUORUM, sentence),
+        log::Error::Unknown => server::Fault::new(method::UNKNOWN_OUTCOME, message),
+        log::Error::TooLarge { .. } => server::Fault::new(method::REFUSED, message),
+        log::Error::Full | log::Error::Stopping => server::Fault::new(method::NO_QUORUM, message),
     }
 }
 
 fn not_leader(leader: Option<&address::Peer>) -> server::Fault {
-    let sentence = match leader {
+    let message = match leader {
         Some(leader) => format!(
             "this control process is not the leader; {} is",
             leader.instance
@@ -89,12 +89,12 @@
         None => "there is no leader now; ask again in a second".to_owned(),
     };
     let data = serde_json::json!(leader);
-    server::Fault::new(method::NOT_LEADER, sentence).with_data(data)
+    server::Fault::new(method::NOT_LEADER, message).with_data(data)
 }
 
 /// A fault for an answer that does not belong to its command.
 #[must_use]
-pub fn unexpected(answer: &answer::Answer) -> server::Fault {
-    let sentence = format!("the state gave an answer of another kind: {answer:?}");
-    server::Fault::new(method::REFUSED, sentence)
+pub fn unexpected_answer_fault(answer: &answer::Answer) -> server::Fault {
+    let message = format!("the state returned an unexpected answer: {answer:?}");
+    server::Fault::new(method::REFUSED, message)
 }
--- a/crates/cranberrygap-control/src/public.rs
+++ b/crates/cranberrygap-control/src/public.rs
@@ -32,12 +32,12 @@
 /// What a translator works with.
 #[derive(Debug, Clone)]
 pub struct Api {
-    desk: Arc<peers::Desk>,
+    context: Arc<peers::Context>,
 }
 
 impl Api {
-    pub(crate) const fn new(desk: Arc<peers::Desk>) -> Self {
-        Self { desk }
+    pub(crate) const fn new(context: Arc<peers::Context>) -> Self {
+        Self { context }
     }
 
     /// Puts a traffic plan into force; one that is not higher changes nothing. Done once all
@@ -47,27 +47,27 @@
     ///
     /// A mistake in the plan, or this process cannot commit it.
     pub async fn replace_plan(&self, plan: traffic::Plan, source: SmolStr) -> Result<(), Refusal> {
-        if let Some(mistake) = state::check(&plan).first() {
-            return Err(Refusal::Invalid(SmolStr::new(mistake.to_string())));
+        if let Some(error) = state::check(&plan).first() {
+            return Err(Refusal::Invalid(SmolStr::new(error.to_string())));
         }
         let version = plan.version;
-        let held = self.leading(|fleet| fleet.traffic.version())?;
-        if held >= Some(version) {
+        let current_version = self.read_as_leader(|fleet| fleet.traffic.version())?;
+        if current_version >= Some(version) {
             // Committed already, or overtaken by a higher one.
-            return self.settle().await;
+            return self.wait_until_in_force().await;
         }
         let step = state::Step { plan, source };
         let command = command::Command::Traffic(Box::new(step));
-        let outcome = self.desk.proposer.propose(command).await;
-        outcome.map(drop).map_err(|fault| refusal(&fault))?;
+        let outcome = self.context.proposer.propose(command).await;
+        outcome.map(drop).map_err(|fault| to_refusal(&fault))?;
         spdlog::info!("traffic: plan {version} is committed");
-        self.settle().await
+        self.wait_until_in_force().await
     }
 
     /// Waits until all may rely on what is committed now.
-    async fn settle(&self) -> Result<(), Refusal> {
-        let settled = self.desk.detector.settle().await;
-        settled.ok_or_else(|| Refusal::Unavailable("the leader's lease ran out".into()))
+    async fn wait_until_in_force(&self) -> Result<(), Refusal> {
+        let in_force = self.context.detector.wait_until_in_force().await;
+        in_force.ok_or_else(|| Refusal::Unavailable("the leader's lease expired".into()))
     }
 
     /// The text of the plan in force; `None` before the first.
@@ -76,9 +76,9 @@
     ///
     /// When this process cannot be sure that it knows the newest.
     pub fn plan_source(&self) -> Result<Option<SmolStr>, Refusal> {
-        let source = self.leading(|fleet| {
-            let known = fleet.traffic.version();
-            known.map(|_version| fleet.traffic.source().clone())
+        let source = self.read_as_leader(|fleet| {
+            let current = fleet.traffic.version();
+            current.map(|_version| fleet.traffic.source().clone())
         })?;
         // The lease may have ended while this process stood still.
         self.check_leads()?;
@@ -96,21 +96,21 @@
             boot: announcement.boot,
             sequence: announcement.sequence,
         };
-        let news = self.leading(|fleet| is_news(fleet, &announcement))?;
+        let changed = self.read_as_leader(|fleet| is_changed(fleet, &announcement))?;
         let leaves = announcement.phase == announced::Phase::Leaving;
-        if news {
-            self.note(endpoint::Step::Announced(Box::new(announcement)))
+        if changed {
+            self.propose(endpoint::Step::Announced(Box::new(announcement)))
                 .await?;
         }
-        let heard = self
-            .desk
+        let recorded = self
+            .context
             .detector
-            .with_office(|now, leadership| leadership.hear(now, &seen));
-        heard.ok_or_else(|| Refusal::Unavailable("the leader's lease ran out".into()))?;
+            .with_leadership(|now, leadership| leadership.record_heartbeat(now, &seen));
+        recorded.ok_or_else(|| Refusal::Unavailable("the leader's lease expired".into()))?;
         if leaves {
             // Told that it may go while an entry still sends it work, it would end with
             // requests of callers in its queue.
-            self.settle().await?;
+            self.wait_until_in_force().await?;
         }
         Ok(())
     }
@@ -128,16 +128,16 @@
         name: id::Endpoint,
         boot: Option<number::Boot>,
     ) -> Result<(), Refusal> {
-        let known = self.leading(|fleet| {
-            let known = fleet.endpoints.get(&name);
-            known.map(|known| known.announcement.boot)
+        let current = self.read_as_leader(|fleet| {
+            let current = fleet.endpoints.get(&name);
+            current.map(|current| current.announcement.boot)
         })?;
-        let meant = known.is_some_and(|known| boot.is_none_or(|boot| boot == known));
-        if !meant {
+        let is_known_boot = current.is_some_and(|current| boot.is_none_or(|boot| boot == current));
+        if !is_known_boot {
             return Ok(());
         }
-        self.note(endpoint::Step::Departed(name)).await?;
-        self.settle().await
+        self.propose(endpoint::Step::Departed(name)).await?;
+        self.wait_until_in_force().await
     }
 
     /// This process, if it leads, else who does.
@@ -146,40 +146,40 @@
     ///
     /// [`Refusal::NotLeader`] or [`Refusal::Unavailable`].
     pub fn check_leads(&self) -> Result<(), Refusal> {
-        let checked = self.desk.proposer.check_leads();
-        checked.map(drop).map_err(|fault| refusal(&fault))
+        let checked = self.context.proposer.check_leads();
+        checked.map(drop).map_err(|fault| to_refusal(&fault))
     }
 
-    async fn note(&self, step: endpoint::Step) -> Result<(), Refusal> {
+    async fn propose(&self, step: endpoint::Step) -> Result<(), Refusal> {
         let command = command::Command::Endpoint(step);
-        let outcome = self.desk.proposer.propose(command).await;
-        outcome.map(drop).map_err(|fault| refusal(&fault))
+        let outcome = self.context.proposer.propose(command).await;
+        outcome.map(drop).map_err(|fault| to_refusal(&fault))
     }
 
-    fn leading<R>(
+    fn read_as_leader<R>(
         &self,
         work: impl FnOnce(&cranberrygap_state::fleet::Fleet) -> R,
     ) -> Result<R, Refusal> {
         self.check_leads()?;
-        Ok(self.desk.state.read(work))
+        Ok(self.context.state.read(work))
     }
 }
 
 /// Whether an announcement says more than that its sender lives.
-fn is_news(
+fn is_changed(
     fleet: &cranberrygap_state::fleet::Fleet,
     announcement: &announced::Announcement,
 ) -> bool {
-    let known = fleet.endpoints.get(&announcement.endpoint);
-    let Some(known) = known else {
+    let current = fleet.endpoints.get(&announcement.endpoint);
+    let Some(current) = current else {
         return true;
     };
-    let mut known = known.announcement;
-    known.sequence = announcement.sequence;
-    known != *announcement
+    let mut current = current.announcement;
+    current.sequence = announcement.sequence;
+    current != *announcement
 }
 
-fn refusal(fault: &server::Fault) -> Refusal {
+fn to_refusal(fault: &server::Fault) -> Refusal {
     if fault.code == method::REFUSED {
         return Refusal::Invalid(fault.message.clone());
     }
--- a/crates/cranberrygap-control/src/replica.rs
+++ b/crates/cranberrygap-control/src/replica.rs
@@ -4,14 +4,14 @@
 //! All proposals and messages that arrive while a sync is under way go into the
 //! next one (group commit).
 
-mod core;
+mod directory;
 mod dump;
 mod error;
-mod formation;
+mod group_status;
 mod published;
 mod request;
 mod settings;
-mod standing;
+mod task;
 mod waiters;
 mod writer;
 
@@ -28,26 +28,26 @@
 use tokio::sync::{mpsc, oneshot};
 
 pub use error::Error;
+pub use group_status::GroupStatus;
 pub use settings::{SNAPSHOT_BYTES, Settings};
-pub use standing::Standing;
 
 use crate::{log, state_machine, transport};
 
 /// Requests that may wait for the protocol's task. Messages beyond it are
 /// dropped, which the protocol repairs; proposals wait.
-const INBOX: usize = 8_192;
+const MAX_QUEUED_REQUESTS: usize = 8_192;
 
 /// How long a proposal waits for its commit. A leader without quorum steps down
 /// much earlier; this bounds the wait behind a disk that hangs.
-const PATIENCE: time::Duration = time::Duration::from_secs(10);
+const COMMIT_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// A handle on the replica that runs in this process.
 #[derive(Debug)]
 pub struct Replica {
-    inbox: mpsc::Sender<request::Request>,
+    requests: mpsc::Sender<request::Request>,
     published: Arc<RwLock<published::Published>>,
     clock: clock::Clock,
-    limit: usize,
+    max_proposal_bytes: usize,
 }
 
 impl Replica {
@@ -59,11 +59,11 @@
     /// snapshot that the state machine does not take.
     pub fn start(
         settings: Settings,
-        machine: Arc<dyn state_machine::StateMachine>,
+        state_machine: Arc<dyn state_machine::StateMachine>,
         transport: Arc<dyn transport::Transport>,
     ) -> Result<Arc<Self>, Error> {
         let disk = disk::Disk::lock(&settings.folder)?;
-        Self::start_on(Box::new(disk), settings, machine, transport)
+        Self::start_with_files(Box::new(disk), settings, state_machine, transport)
     }
 
     /// Starts the protocol on files that need not be in a real folder.
@@ -71,43 +71,43 @@
     /// # Errors
     ///
     /// As [`Self::start`].
-    pub fn start_on(
+    pub fn start_with_files(
         files: Box<dyn files::Files>,
         settings: Settings,
-        machine: Arc<dyn state_machine::StateMachine>,
+        state_machine: Arc<dyn state_machine::StateMachine>,
         transport: Arc<dyn transport::Transport>,
     ) -> Result<Arc<Self>, Error> {
-        let drawn = cranberrygap_agreement::replica::Id(random()?);
+        let new_id = cranberrygap_agreement::replica::Id(random()?);
         let instance = settings.own.instance.clone();
-        let (folder, recovered) = folder::Folder::open(files, &instance, drawn)?;
+        let (folder, recovered) = folder::Folder::open(files, &instance, new_id)?;
         if recovered.cut > 0 {
             spdlog::warn!("storage: cut a torn tail of {} bytes", recovered.cut);
         }
         if let Some(snapshot) = &recovered.snapshot {
-            let restored = machine.restore(snapshot.position.index, &snapshot.data);
+            let restored = state_machine.restore(snapshot.position.index, &snapshot.data);
             restored.map_err(Error::Restore)?;
         }
-        let (inbox, requests) = mpsc::channel(INBOX);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let (writer, done) = writer::start(folder)?;
         let clock = clock::Clock::start();
         let published = Arc::new(RwLock::new(published::Published::default()));
-        let limit = settings.limits.proposal_bytes;
-        let parts = core::Parts {
+        let max_proposal_bytes = settings.limits.proposal_bytes;
+        let environment = task::Environment {
             settings,
-            machine,
+            state_machine,
             transport,
             clock,
             published: Arc::clone(&published),
             writer,
             seed: random()?,
         };
-        let core = core::Core::new(parts, recovered);
-        tokio::spawn(core.run(requests, done));
+        let task = task::Task::new(environment, recovered);
+        tokio::spawn(task.run(receiver, done));
         Ok(Arc::new(Self {
-            inbox,
+            requests: sender,
             published,
             clock,
-            limit,
+            max_proposal_bytes,
         }))
     }
 
@@ -118,7 +118,7 @@
         let from = from.clone();
         let request = request::Request::Deliver { from, message };
         // The only failures are a full or a closed inbox; both mean dropping.
-        drop(self.inbox.try_send(request));
+        drop(self.requests.try_send(request));
     }
 
     /// Hands leadership to another voter, for a planned stop.
@@ -128,8 +128,8 @@
     /// # Errors
     ///
     /// No other voter could take over.
-    pub async fn transfer(&self) -> Result<(), Error> {
-        self.ask(request::Request::Transfer).await
+    pub async fn transfer_leadership(&self) -> Result<(), Error> {
+        self.send_request(request::Request::Transfer).await
     }
 
     /// Adds a replica that presented itself as a learner.
@@ -138,7 +138,8 @@
     ///
     /// Refused, not the leader, or the outcome is not known.
     pub async fn add_learner(&self, instance: &id::Instance) -> Result<(), Error> {
-        self.change(request::Change::AddLearner, instance).await
+        self.change_by_instance(request::Change::AddLearner, instance)
+            .await
     }
 
     /// Makes a learner that has caught up a voter.
@@ -147,7 +148,8 @@
     ///
     /// Refused, not the leader, or the outcome is not known.
     pub async fn promote(&self, instance: &id::Instance) -> Result<(), Error> {
-        self.change(request::Change::Promote, instance).await
+        self.change_by_instance(request::Change::Promote, instance)
+            .await
     }
 
     /// Takes a voter out, or a learner if no voter has this name.
@@ -155,16 +157,17 @@
     /// # Errors
     ///
     /// Refused, not the leader, or the outcome is not known.
-    pub async fn remove(&self, instance: &id::Instance) -> Result<(), Error> {
-        self.change(request::Change::Remove, instance).await
+    pub async fn remove_member(&self, instance: &id::Instance) -> Result<(), Error> {
+        self.change_by_instance(request::Change::Remove, instance)
+            .await
     }
 
     /// Who belongs to the group and who presents itself, if this replica leads.
-    pub async fn standing(&self) -> Option<Standing> {
-        let (answer, answered) = oneshot::channel();
-        let request = request::Request::Standing(answer);
-        self.inbox.send(request).await.ok()?;
-        answered.await.ok().flatten()
+    pub async fn group_status(&self) -> Option<GroupStatus> {
+        let (reply, response) = oneshot::channel();
+        let request = request::Request::GroupStatus(reply);
+        self.requests.send(request).await.ok()?;
+        response.await.ok().flatten()
     }
 
     /// Changes the membership by replica id.
@@ -172,23 +175,23 @@
     /// # Errors
     ///
     /// Refused, not the leader, or the outcome is not known.
-    pub async fn alter(&self, change: change::Change) -> Result<(), Error> {
-        self.ask(|answer| request::Request::Alter(change, answer))
+    pub async fn change_membership(&self, change: change::Change) -> Result<(), Error> {
+        self.send_request(|reply| request::Request::ChangeById(change, reply))
             .await
     }
 
     /// The replica's whole state.
     pub async fn dump(&self) -> serde_json::Value {
-        let (answer, answered) = oneshot::channel();
-        drop(self.inbox.send(request::Request::Dump(answer)).await);
-        answered.await.unwrap_or(serde_json::Value::Null)
+        let (reply, response) = oneshot::channel();
+        drop(self.requests.send(request::Request::Dump(reply)).await);
+        response.await.unwrap_or(serde_json::Value::Null)
     }
 
     /// Stops the protocol; what is durable stays.
     pub async fn stop(&self) {
-        let (answer, answered) = oneshot::channel();
-        drop(self.inbox.send(request::Request::Stop(answer)).await);
-        drop(answered.await);
+        let (reply, response) = oneshot::channel();
+        drop(self.requests.send(request::Request::Stop(reply)).await);
+        drop(response.await);
     }
 
     /// Why the replica stopped taking part, if it did.
@@ -197,38 +200,44 @@
         self.published.read().failure.clone()
     }
 
-    async fn change(&self, change: request::Change, instance: &id::Instance) -> Result<(), Error> {
+    async fn change_by_instance(
+        &self,
+        change: request::Change,
+        instance: &id::Instance,
+    ) -> Result<(), Error> {
         let instance = instance.clone();
-        let build = |answer| request::Request::Change {
+        let build = |reply| request::Request::ChangeByInstance {
             change,
             instance,
-            answer,
+            reply,
         };
-        self.ask(build).await
+        self.send_request(build).await
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         build: impl FnOnce(oneshot::Sender<Result<(), Error>>) -> request::Request,
     ) -> Result<(), Error> {
-        let (answer, answered) = oneshot::channel();
-        let sent = self.inbox.send(build(answer)).await;
-        sent.map_err(|_closed| Error::Stopping)?;
-        match tokio::time::timeout(PATIENCE, answered).await {
+        let (reply, response) = oneshot::channel();
+        let queued = self.requests.send(build(reply)).await;
+        queued.map_err(|_closed| Error::Stopping)?;
+        match tokio::time::timeout(COMMIT_TIMEOUT, response).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => Err(Error::Unknown),
         }
     }
 
-    async fn put(&self, payload: Bytes) -> Result<log::Committed, log::Error> {
-        if payload.len() > self.limit {
-            return Err(log::Error::TooLarge { limit: self.limit });
+    async fn propose_payload(&self, payload: Bytes) -> Result<log::Committed, log::Error> {
+        if payload.len() > self.max_proposal_bytes {
+            return Err(log::Error::TooLarge {
+                limit: self.max_proposal_bytes,
+            });
         }
-        let (answer, answered) = oneshot::channel();
-        let request = request::Request::Propose { payload, answer };
-        let sent = self.inbox.send(request).await;
-        sent.map_err(|_closed| log::Error::Stopping)?;
-        match tokio::time::timeout(PATIENCE, answered).await {
+        let (reply, response) = oneshot::channel();
+        let request = request::Request::Propose { payload, reply };
+        let queued = self.requests.send(request).await;
+        queued.map_err(|_closed| log::Error::Stopping)?;
+        match tokio::time::timeout(COMMIT_TIMEOUT, response).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => Err(log::Error::Unknown),
         }
@@ -237,7 +246,7 @@
 
 impl log::Log for Replica {
     fn propose(&self, payload: Bytes) -> BoxFuture<'_, Result<log::Committed, log::Error>> {
-        Box::pin(self.put(payload))
+        Box::pin(self.propose_payload(payload))
     }
 
     fn status(&self) -> log::Status {
--- a/crates/cranberrygap-control/src/replica/formation.rs
+++ b/crates/cranberrygap-control/src/replica/directory.rs
@@ -8,38 +8,37 @@
 
 /// Time between two presentations of a replica without a group. Short, since a
 /// new group serves nobody before it is formed.
-pub(super) const PRESENT: time::Duration = time::Duration::from_millis(200);
+pub(super) const PRESENT_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Time between two presentations of a replica that is not a member yet. Until it is a voter
 /// again the group bears one loss less, and the first leader after a loss of power may have
 /// been elected just after the last one.
-pub(super) const PRESENT_LEARNER: time::Duration = time::Duration::from_millis(300);
+pub(super) const LEARNER_PRESENT_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// Replicas that are remembered without being members; bounds what strangers
 /// can make this process keep.
-const STRANGERS: usize = 64;
+const MAX_UNKNOWN_REPLICAS: usize = 64;
 
 /// Replicas that presented themselves or sent something, and their addresses.
 #[derive(Debug, Default)]
 pub(super) struct Directory {
     addresses: BTreeMap<replica::Id, address::Peer>,
-    presented: BTreeMap<id::Instance, (formation::Hello, time::Instant)>,
+    hellos: BTreeMap<id::Instance, (formation::Hello, time::Instant)>,
 }
 
 impl Directory {
     /// Remembers where a replica can be reached.
-    pub(super) fn note(&mut self, id: replica::Id, peer: &address::Peer) {
-        if self.addresses.len() < STRANGERS || self.addresses.contains_key(&id) {
+    pub(super) fn record_address(&mut self, id: replica::Id, peer: &address::Peer) {
+        if self.addresses.len() < MAX_UNKNOWN_REPLICAS || self.addresses.contains_key(&id) {
             self.addresses.insert(id, peer.clone());
         }
     }
 
     /// Remembers a replica that presented itself.
-    pub(super) fn present(&mut self, hello: formation::Hello) {
+    pub(super) fn record_hello(&mut self, hello: formation::Hello) {
         let instance = hello.peer.instance.clone();
-        if self.presented.len() < STRANGERS || self.presented.contains_key(&instance) {
-            self.presented
-                .insert(instance, (hello, time::Instant::now()));
+        if self.hellos.len() < MAX_UNKNOWN_REPLICAS || self.hellos.contains_key(&instance) {
+            self.hellos.insert(instance, (hello, time::Instant::now()));
         }
     }
 
@@ -48,38 +47,38 @@
     /// A founder that presented itself while the group was formed may lose its
     /// disk. Added under its name before its new replica was heard, the dead one
     /// would come into the group as a learner that never catches up.
-    pub(super) fn forget(&mut self, id: replica::Id) {
-        self.presented.retain(|_, (hello, _)| hello.id != id);
+    pub(super) fn remove_hello(&mut self, id: replica::Id) {
+        self.hellos.retain(|_, (hello, _)| hello.id != id);
     }
 
     pub(super) fn address(&self, id: replica::Id) -> Option<&address::Peer> {
         self.addresses.get(&id)
     }
 
-    pub(super) fn presented(&self, instance: &id::Instance) -> Option<&formation::Hello> {
-        self.presented.get(instance).map(|(hello, _)| hello)
+    pub(super) fn hello_of(&self, instance: &id::Instance) -> Option<&formation::Hello> {
+        self.hellos.get(instance).map(|(hello, _)| hello)
     }
 
     /// Who presented itself, and how long ago.
     pub(super) fn newcomers(&self) -> Vec<reconciler::Newcomer> {
-        let all = self.presented.values();
-        let newcomers = all.map(|(hello, at)| {
-            let silent = u64::try_from(at.elapsed().as_micros()).unwrap_or(u64::MAX);
+        let hellos = self.hellos.values();
+        let newcomers = hellos.map(|(hello, at)| {
+            let silence = u64::try_from(at.elapsed().as_micros()).unwrap_or(u64::MAX);
             reconciler::Newcomer {
                 hello: hello.clone(),
-                silence: duration::Span(silent),
+                silence: duration::Span(silence),
             }
         });
         newcomers.collect()
     }
 
-    pub(super) fn all_presented(&self) -> impl Iterator<Item = &formation::Hello> {
-        self.presented.values().map(|(hello, _)| hello)
+    pub(super) fn iter_hellos(&self) -> impl Iterator<Item = &formation::Hello> {
+        self.hellos.values().map(|(hello, _)| hello)
     }
 }
 
 /// Who a packet's sender says it is.
-pub(super) fn sender(packet: &packet::Packet) -> Option<replica::Id> {
+pub(super) fn sender_id(packet: &packet::Packet) -> Option<replica::Id> {
     match packet {
         packet::Packet::Hello(hello) => Some(hello.id),
         packet::Packet::Formed(_) => None,
--- a/crates/cranberrygap-control/src/replica/dump.rs
+++ b/crates/cranberrygap-control/src/replica/dump.rs
@@ -5,11 +5,11 @@
 use serde_json::{Value, json};
 
 /// State of a running node.
-pub(super) fn node(node: &node::Node, now: duration::Instant) -> Value {
+pub(super) fn dump_node(node: &node::Node, now: duration::Instant) -> Value {
     let followers: serde_json::Map<String, Value> = node
         .progress()
         .iter()
-        .map(|(id, progress)| (id.to_string(), follower(progress, now)))
+        .map(|(id, progress)| (id.to_string(), dump_progress(progress, now)))
         .collect();
     json!({
         "replica": node.id().to_string(),
@@ -24,12 +24,12 @@
         "committed": node.committed(),
         "applied": node.applied(),
         "snapshot": node.snapshot_position(),
-        "members": members(node),
+        "members": dump_members(node),
         "followers": followers,
     })
 }
 
-fn members(node: &node::Node) -> Value {
+fn dump_members(node: &node::Node) -> Value {
     let members = &node.members().0;
     let list = members.iter().map(|(id, member)| {
         json!({
@@ -41,7 +41,7 @@
     list.collect()
 }
 
-fn follower(progress: &progress::Progress, now: duration::Instant) -> Value {
+fn dump_progress(progress: &progress::Progress, now: duration::Instant) -> Value {
     json!({
         "matched": progress.matched,
         "next": progress.next,
--- a/crates/cranberrygap-control/src/replica/standing.rs
+++ b/crates/cranberrygap-control/src/replica/group_status.rs
@@ -7,13 +7,13 @@
 
 /// Who belongs to the group, how far each has come, and who presents itself.
 #[derive(Debug, Clone)]
-pub struct Standing {
+pub struct GroupStatus {
     /// The leader, which is this replica.
-    pub own: replica::Id,
+    pub leader: replica::Id,
     /// The time by which `progress` is counted.
     pub now: duration::Instant,
     /// End of the log.
-    pub last: number::Index,
+    pub last_index: number::Index,
     /// The membership.
     pub members: members::Members,
     /// What is known of each other member.
--- a/crates/cranberrygap-control/src/replica/published.rs
+++ b/crates/cranberrygap-control/src/replica/published.rs
@@ -10,7 +10,7 @@
     pub(super) term: number::Term,
     pub(super) leader: Option<address::Peer>,
     /// Whether that is this replica.
-    pub(super) own: bool,
+    pub(super) leader_is_self: bool,
     pub(super) committed: number::Index,
     pub(super) applied: number::Index,
     /// End of the lease, if this replica leads and has applied an entry of its
@@ -27,7 +27,10 @@
     /// again without a pause.
     pub(super) fn status(&self, now: duration::Instant) -> log::Status {
         let leads = self.lease_end.is_some_and(|end| now < end);
-        let leader = self.leader.as_ref().filter(|_| leads || !self.own);
+        let leader = self
+            .leader
+            .as_ref()
+            .filter(|_| leads || !self.leader_is_self);
         log::Status {
             term: self.term,
             leads,
--- a/crates/cranberrygap-control/src/replica/request.rs
+++ b/crates/cranberrygap-control/src/replica/request.rs
@@ -9,10 +9,10 @@
 use crate::log;
 
 /// Answer to a proposal.
-pub(super) type Committed = oneshot::Sender<Result<log::Committed, log::Error>>;
+pub(super) type ProposalReply = oneshot::Sender<Result<log::Committed, log::Error>>;
 
 /// Answer to anything else that may be refused.
-pub(super) type Done = oneshot::Sender<Result<(), Error>>;
+pub(super) type Reply = oneshot::Sender<Result<(), Error>>;
 
 /// A change of the membership by instance name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,16 +31,16 @@
     },
     Propose {
         payload: Bytes,
-        answer: Committed,
+        reply: ProposalReply,
     },
-    Change {
+    ChangeByInstance {
         change: Change,
         instance: id::Instance,
-        answer: Done,
+        reply: Reply,
     },
-    Alter(change::Change, Done),
-    Standing(oneshot::Sender<Option<super::Standing>>),
-    Transfer(Done),
+    ChangeById(change::Change, Reply),
+    GroupStatus(oneshot::Sender<Option<super::GroupStatus>>),
+    Transfer(Reply),
     Dump(oneshot::Sender<serde_json::Value>),
     Stop(oneshot::Sender<()>),
 }
--- a/crates/cranberrygap-control/src/replica/settings.rs
+++ b/crates/cranberrygap-control/src/replica/settings.rs
@@ -7,7 +7,7 @@
 
 /// Entries after which a snapshot is taken. Bounds the time of a restart; the
 /// snapshot itself is a few megabytes.
-const SNAPSHOT_AFTER: u64 = 5_000;
+const SNAPSHOT_ENTRIES: u64 = 5_000;
 
 /// Bytes of entries after which a snapshot is taken, however few they are. A restart applies
 /// no more than about these, 0.1 s of a core; the smallest instances have a tenth of one.
@@ -33,7 +33,7 @@
     #[builder(default)]
     pub limits: limits::Limits,
     /// Entries after which a snapshot is taken.
-    #[builder(default = SNAPSHOT_AFTER)]
+    #[builder(default = SNAPSHOT_ENTRIES)]
     pub snapshot_after: u64,
     /// Bytes of entries after which a snapshot is taken.
     #[builder(default = SNAPSHOT_BYTES)]
--- a/crates/cranberrygap-control/src/replica/core.rs
+++ b/crates/cranberrygap-control/src/replica/task.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cranberrygap_agreement::{
-    entry, formation as founding, input, message, node, output, packet, replica, snapshot,
+    entry, formation, input, message, node, output, packet, replica, snapshot,
 };
 use cranberrygap_link::clock;
 use cranberrygap_model::{address, duration};
@@ -16,24 +16,24 @@
 use parking_lot::RwLock;
 use tokio::sync::mpsc as channel;
 
-use super::{Settings, formation, published, request, waiters, writer};
+use super::{Settings, directory, published, request, waiters, writer};
 use crate::{state_machine, transport};
 
 /// Requests taken before outputs are carried out; more proposals share a sync.
-const DRAIN: usize = 512;
+const MAX_REQUESTS_PER_STEP: usize = 512;
 
 /// Entries that wait to be applied beyond which it is said; the changes of a moment stay
 /// below.
-const LONG_BACKLOG: u64 = 64;
+const BACKLOG_LOG_THRESHOLD: u64 = 64;
 
 /// Bytes of entries for each byte of a snapshot, so that writing snapshots stays a small
 /// part of writing the log.
-const SNAPSHOT_COST: u64 = 4;
+const LOG_BYTES_PER_SNAPSHOT_BYTE: u64 = 4;
 
 /// What the task is built from.
-pub(super) struct Parts {
+pub(super) struct Environment {
     pub(super) settings: Settings,
-    pub(super) machine: Arc<dyn state_machine::StateMachine>,
+    pub(super) state_machine: Arc<dyn state_machine::StateMachine>,
     pub(super) transport: Arc<dyn transport::Transport>,
     pub(super) clock: clock::Clock,
     pub(super) published: Arc<RwLock<published::Published>>,
@@ -44,7 +44,7 @@
 /// How far the replica has come.
 enum Phase {
     /// It has no group yet.
-    Forming(founding::Formation),
+    Forming(formation::Formation),
     /// The group is being made durable.
     Joining(Box<node::Node>),
     /// It takes part.
@@ -54,30 +54,30 @@
 }
 
 /// State of the task.
-pub(super) struct Core {
-    parts: Parts,
-    own: replica::Id,
-    formed: Option<founding::Formed>,
+pub(super) struct Task {
+    environment: Environment,
+    id: replica::Id,
+    formed: Option<formation::Formed>,
     phase: Phase,
-    directory: formation::Directory,
+    directory: directory::Directory,
     waiters: waiters::Waiters,
-    transfer: Option<request::Done>,
-    proposals: Vec<(Bytes, request::Committed)>,
-    presented: time::Instant,
-    led: bool,
+    pending_transfer: Option<request::Reply>,
+    proposals: Vec<(Bytes, request::ProposalReply)>,
+    last_presented: time::Instant,
+    was_leader: bool,
     /// Committed entries that wait to be applied, as last looked at.
     backlog: u64,
     /// Whether it was said that many wait.
-    lags: bool,
+    backlog_logged: bool,
     /// Bytes of entries applied since the last snapshot.
-    applied: u64,
+    applied_bytes: u64,
     /// Size of the last snapshot that was taken here, in bytes.
-    snapshot: u64,
+    snapshot_bytes: u64,
 }
 
-impl Core {
-    pub(super) fn new(parts: Parts, recovered: recovered::Recovered) -> Self {
-        let own = recovered.identity.replica;
+impl Task {
+    pub(super) fn new(environment: Environment, recovered: recovered::Recovered) -> Self {
+        let id = recovered.identity.replica;
         let snapshot = recovered.snapshot.as_ref();
         spdlog::info!(
             "agreement: read {} entries after entry {}, term {}, vote {:?}",
@@ -86,42 +86,42 @@
             recovered.hard.term,
             recovered.hard.vote.map(|id| id.to_string())
         );
-        let covered = snapshot.map_or(0, |found| found.data.len() as u64);
+        let snapshot_bytes = snapshot.map_or(0, |found| found.data.len() as u64);
         let formed = recovered.identity.formed.clone();
         let phase = match &formed {
             Some(formed) => {
                 let start = node::Start::builder()
-                    .id(own)
+                    .id(id)
                     .group(formed.group)
-                    .timing(parts.settings.timing)
-                    .limits(parts.settings.limits)
-                    .seed(parts.seed)
+                    .timing(environment.settings.timing)
+                    .limits(environment.settings.limits)
+                    .seed(environment.seed)
                     .hard(recovered.hard)
                     .maybe_snapshot(recovered.snapshot)
                     .entries(recovered.entries)
                     .build();
-                Phase::Running(Box::new(node::Node::new(start, parts.clock.now())))
+                Phase::Running(Box::new(node::Node::new(start, environment.clock.now())))
             }
-            None => Phase::Forming(founding::Formation::new(
-                forming::hello(own, &parts.settings.own),
-                parts.settings.voters.clone(),
+            None => Phase::Forming(formation::Formation::new(
+                forming::new_hello(id, &environment.settings.own),
+                environment.settings.voters.clone(),
             )),
         };
         Self {
-            parts,
-            own,
+            environment,
+            id,
             formed,
             phase,
-            directory: formation::Directory::default(),
+            directory: directory::Directory::default(),
             waiters: waiters::Waiters::default(),
-            transfer: None,
+            pending_transfer: None,
             proposals: Vec::new(),
-            presented: time::Instant::now(),
-            led: false,
+            last_presented: time::Instant::now(),
+            was_leader: false,
             backlog: 0,
-            lags: false,
-            applied: 0,
-            snapshot: covered,
+            backlog_logged: false,
+            applied_bytes: 0,
+            snapshot_bytes,
         }
     }
 
@@ -132,26 +132,26 @@
     ) {
         spdlog::info!(
             "agreement: replica {} of {}",
-            self.own,
-            self.parts.settings.own
+            self.id,
+            self.environment.settings.own
         );
         self.present();
-        self.try_found();
+        self.try_form_group();
         self.step(input::Input::Tick);
         loop {
-            let wake = tokio::time::Instant::from_std(self.wake());
+            let wake = tokio::time::Instant::from_std(self.next_wake());
             tokio::select! {
-                Some(done) = done.recv() => self.done(done),
+                Some(done) = done.recv() => self.handle_done(done),
                 request = requests.recv() => {
                     let Some(request) = request else { return };
-                    if !self.take(request, &mut requests) {
+                    if !self.handle_requests(request, &mut requests) {
                         return;
                     }
                 }
                 () = tokio::time::sleep_until(wake) => self.tick(),
             }
-            self.publish();
-            self.note_backlog();
+            self.publish_status();
+            self.update_backlog();
             if self.backlog > 0 {
                 // What was sent goes out on other tasks of this thread, and they must
                 // have their turn between two parts of a long log.
@@ -161,115 +161,115 @@
     }
 
     /// Takes a request and all that wait behind it; false to stop.
-    fn take(
+    fn handle_requests(
         &mut self,
         first: request::Request,
-        more: &mut channel::Receiver<request::Request>,
+        queue: &mut channel::Receiver<request::Request>,
     ) -> bool {
         let mut next = Some(first);
-        for _ in 0..DRAIN {
+        for _ in 0..MAX_REQUESTS_PER_STEP {
             let Some(request) = next else { break };
-            if !self.request(request) {
+            if !self.handle_request(request) {
                 return false;
             }
-            next = more.try_recv().ok();
+            next = queue.try_recv().ok();
         }
         if let Some(request) = next
-            && !self.request(request)
+            && !self.handle_request(request)
         {
             return false;
         }
-        self.propose();
+        self.propose_queued();
         true
     }
 
-    fn request(&mut self, request: request::Request) -> bool {
+    fn handle_request(&mut self, request: request::Request) -> bool {
         match request {
-            request::Request::Deliver { from, message } => self.deliver(&from, &message),
-            request::Request::Propose { payload, answer } => self.proposals.push((payload, answer)),
-            request::Request::Change {
+            request::Request::Deliver { from, message } => self.handle_packet(&from, &message),
+            request::Request::Propose { payload, reply } => self.proposals.push((payload, reply)),
+            request::Request::ChangeByInstance {
                 change,
                 instance,
-                answer,
-            } => self.change(change, &instance, answer),
-            request::Request::Alter(change, answer) => self.alter(change, answer),
-            request::Request::Standing(answer) => drop(answer.send(self.standing())),
-            request::Request::Transfer(answer) => self.begin_transfer(answer),
-            request::Request::Dump(answer) => drop(answer.send(self.dump())),
-            request::Request::Stop(answer) => {
-                self.waiters.give_up();
+                reply,
+            } => self.change_by_instance(change, &instance, reply),
+            request::Request::ChangeById(change, reply) => self.change_by_id(change, reply),
+            request::Request::GroupStatus(reply) => drop(reply.send(self.group_status())),
+            request::Request::Transfer(reply) => self.begin_transfer(reply),
+            request::Request::Dump(reply) => drop(reply.send(self.dump())),
+            request::Request::Stop(reply) => {
+                self.waiters.fail_all();
                 // Nobody may wait any more.
-                let _closed = answer.send(());
+                let _closed = reply.send(());
                 return false;
             }
         }
         true
     }
 
-    fn wake(&self) -> time::Instant {
-        let present = self.presented + formation::PRESENT;
+    fn next_wake(&self) -> time::Instant {
+        let next_presentation = self.last_presented + directory::PRESENT_INTERVAL;
         match &self.phase {
             Phase::Running(node) => {
-                let due = self.at(node.deadline());
-                if node.members().0.contains_key(&self.own) {
+                let due = self.to_std_instant(node.deadline());
+                if node.members().0.contains_key(&self.id) {
                     return due;
                 }
-                due.min(self.presented + formation::PRESENT_LEARNER)
+                due.min(self.last_presented + directory::LEARNER_PRESENT_INTERVAL)
             }
-            _ => present,
+            _ => next_presentation,
         }
     }
 
     /// When the process's clock shows `due`.
-    fn at(&self, due: duration::Instant) -> time::Instant {
+    fn to_std_instant(&self, due: duration::Instant) -> time::Instant {
         // An instant that far ahead means never; a day is as good.
-        let most = time::Duration::from_hours(24);
-        let ahead = due.since(self.parts.clock.now());
-        time::Instant::now() + ahead.to_std().min(most)
+        let max_wait = time::Duration::from_hours(24);
+        let ahead = due.since(self.environment.clock.now());
+        time::Instant::now() + ahead.to_std().min(max_wait)
     }
 
     fn tick(&mut self) {
-        if time::Instant::now() >= self.presented + formation::PRESENT {
+        if time::Instant::now() >= self.last_presented + directory::PRESENT_INTERVAL {
             self.present();
         }
         self.step(input::Input::Tick);
     }
 
     /// Says once that many entries wait to be applied, and once that none does any more.
-    fn note_backlog(&mut self) {
+    fn update_backlog(&mut self) {
         self.backlog = match &self.phase {
             Phase::Running(node) => node.backlog(),
             _ => 0,
         };
-        if !self.lags && self.backlog > LONG_BACKLOG {
-            self.lags = true;
+        if !self.backlog_logged && self.backlog > BACKLOG_LOG_THRESHOLD {
+            self.backlog_logged = true;
             spdlog::info!("agreement: {} committed entries to apply", self.backlog);
         }
-        if self.lags && self.backlog == 0 {
-            self.lags = false;
+        if self.backlog_logged && self.backlog == 0 {
+            self.backlog_logged = false;
             spdlog::info!("agreement: all committed entries are applied");
         }
     }
 
     fn step(&mut self, input: input::Input) {
-        let now = self.parts.clock.now();
+        let now = self.environment.clock.now();
         let Phase::Running(node) = &mut self.phase else {
             return;
         };
         let outputs = node.step(now, input);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
         self.after_step();
     }
 
-    fn carry_out(&mut self, output: output::Output) {
+    fn execute(&mut self, output: output::Output) {
         match output {
             output::Output::Write(write) => self.write(writer::Job::Write(write)),
-            output::Output::Send(message) => self.send(message),
+            output::Output::Send(message) => self.send_message(message),
             output::Output::Apply(entries) => self.apply(entries),
             output::Output::Restore(snapshot) => self.restore(&snapshot),
-            output::Output::VoteEvent(ballot) => spdlog::info!("agreement: {ballot}"),
+            output::Output::VoteEvent(event) => spdlog::info!("agreement: {event}"),
             // Both are read by the callers that expect them.
             output::Output::Accepted(_) | output::Output::Refused(_) => {}
         }
@@ -277,26 +277,33 @@
 
     fn write(&mut self, job: writer::Job) {
         // The thread ends only after it has reported a failure.
-        drop(self.parts.writer.send(job));
+        drop(self.environment.writer.send(job));
     }
 
     fn apply(&mut self, entries: Vec<entry::Entry>) {
         for entry in entries {
-            self.applied += entry.size() as u64;
+            self.applied_bytes += entry.size() as u64;
             let answer = match &entry.payload {
-                entry::Payload::Data(data) => self.parts.machine.apply(entry.position.index, data),
+                entry::Payload::Data(data) => self
+                    .environment
+                    .state_machine
+                    .apply(entry.position.index, data),
                 entry::Payload::Empty | entry::Payload::Members(_) => Bytes::new(),
             };
-            self.waiters.settle(entry.position, &answer);
+            self.waiters.complete(entry.position, &answer);
         }
     }
 
     fn restore(&mut self, snapshot: &snapshot::Snapshot) {
         let index = snapshot.position.index;
-        self.applied = 0;
-        self.snapshot = snapshot.data.len() as u64;
-        spdlog::info!("agreement: takes a snapshot up to entry {index} from the leader");
-        if let Err(cause) = self.parts.machine.restore(index, &snapshot.data) {
+        self.applied_bytes = 0;
+        self.snapshot_bytes = snapshot.data.len() as u64;
+        spdlog::info!("agreement: restores a snapshot up to entry {index} from the leader");
+        if let Err(cause) = self
+            .environment
+            .state_machine
+            .restore(index, &snapshot.data)
+        {
             self.fail(&format!(
                 "the leader's snapshot cannot be restored: {cause}"
             ));
@@ -308,58 +315,60 @@
             return;
         };
         let leads = node.is_leader();
-        if leads != self.led {
-            self.led = leads;
+        if leads != self.was_leader {
+            self.was_leader = leads;
             let term = node.hard().term;
             let change = if leads { "leads" } else { "leads no more" };
             spdlog::info!("agreement: {change} in term {term}");
         }
         if !leads {
-            self.waiters.give_up();
-            if let Some(answer) = self.transfer.take() {
-                drop(answer.send(Ok(())));
+            self.waiters.fail_all();
+            if let Some(reply) = self.pending_transfer.take() {
+                drop(reply.send(Ok(())));
             }
         }
-        self.snapshot();
+        self.snapshot_if_due();
     }
 
-    fn snapshot(&mut self) {
+    fn snapshot_if_due(&mut self) {
         let Phase::Running(node) = &mut self.phase else {
             return;
         };
         let index = node.applied();
-        let since = index.0.saturating_sub(node.snapshot_position().index.0);
-        let settings = &self.parts.settings;
+        let entries_since = index.0.saturating_sub(node.snapshot_position().index.0);
+        let settings = &self.environment.settings;
         // A whole plan is an entry of tens of kilobytes that replaces the one before; by
         // their number alone hundreds of them would be read and applied at each start. A
         // snapshot costs what it holds, so a large one is taken less often.
-        let enough = settings.snapshot_bytes.max(self.snapshot * SNAPSHOT_COST);
-        if since < settings.snapshot_after && self.applied < enough {
+        let threshold = settings
+            .snapshot_bytes
+            .max(self.snapshot_bytes * LOG_BYTES_PER_SNAPSHOT_BYTE);
+        if entries_since < settings.snapshot_after && self.applied_bytes < threshold {
             return;
         }
-        let data = self.parts.machine.snapshot();
-        self.applied = 0;
-        self.snapshot = data.len() as u64;
+        let data = self.environment.state_machine.snapshot();
+        self.applied_bytes = 0;
+        self.snapshot_bytes = data.len() as u64;
         spdlog::debug!(
             "agreement: snapshot of {} bytes up to entry {index}",
             data.len()
         );
-        let now = self.parts.clock.now();
+        let now = self.environment.clock.now();
         let outputs = node.step(now, input::Input::Snapshot { index, data });
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn done(&mut self, done: writer::Done) {
+    fn handle_done(&mut self, done: writer::Done) {
         match done {
-            writer::Done::Written { ticket, then } => {
-                for message in then {
-                    self.send(message);
+            writer::Done::Written { ticket, send_after } => {
+                for message in send_after {
+                    self.send_message(message);
                 }
                 self.step(input::Input::Written(ticket));
             }
-            writer::Done::Joined => self.joined(),
+            writer::Done::Joined => self.finish_join(),
             writer::Done::Failed(cause) => self.fail(&cause.to_string()),
         }
     }
@@ -371,15 +380,17 @@
     /// others, and they elect another leader.
     fn fail(&mut self, cause: &str) {
         spdlog::critical!("storage: {cause}");
-        spdlog::critical!("agreement: takes no part any more; mend the disk and start again");
-        self.waiters.give_up();
-        self.parts.published.write().failure = Some(cause.to_owned());
+        spdlog::critical!(
+            "agreement: this replica has stopped; repair the disk and restart the process"
+        );
+        self.waiters.fail_all();
+        self.environment.published.write().failure = Some(cause.to_owned());
         self.phase = Phase::Failed;
     }
 
-    fn send(&self, message: message::Message) {
+    fn send_message(&self, message: message::Message) {
         let to = message.to;
-        let Some(peer) = self.peer(to) else {
+        let Some(peer) = self.peer_of(to) else {
             return;
         };
         self.send_packet(&peer, &packet::Packet::Protocol(message));
@@ -387,42 +398,42 @@
 
     fn send_packet(&self, peer: &address::Peer, packet: &packet::Packet) {
         let bytes = postcard::to_stdvec(packet).expect("a packet is always encodable");
-        self.parts.transport.send(peer, Bytes::from(bytes));
+        self.environment.transport.send(peer, Bytes::from(bytes));
     }
 
-    fn deliver(&mut self, from: &address::Peer, bytes: &[u8]) {
+    fn handle_packet(&mut self, from: &address::Peer, bytes: &[u8]) {
         let Ok(packet) = postcard::from_bytes::<packet::Packet>(bytes) else {
-            spdlog::warn!("agreement: a packet from {from} cannot be understood; dropped");
+            spdlog::warn!("agreement: dropped a malformed packet from {from}");
             return;
         };
-        if let Some(id) = formation::sender(&packet) {
-            self.directory.note(id, from);
+        if let Some(id) = directory::sender_id(&packet) {
+            self.directory.record_address(id, from);
         }
         match packet {
-            packet::Packet::Hello(hello) => self.hello(from, hello),
-            packet::Packet::Formed(formed) => self.learn(&formed),
+            packet::Packet::Hello(hello) => self.handle_hello(from, hello),
+            packet::Packet::Formed(formed) => self.handle_formed(&formed),
             packet::Packet::Protocol(message) => self.step(input::Input::Receive(message)),
         }
     }
 
-    fn propose(&mut self) {
+    fn propose_queued(&mut self) {
         if self.proposals.is_empty() {
             return;
         }
         let batch = std::mem::take(&mut self.proposals);
-        let (payloads, answers): (Vec<_>, Vec<_>) = batch.into_iter().unzip();
-        let outcome = self.ask(input::Input::Propose(payloads));
+        let (payloads, replies): (Vec<_>, Vec<_>) = batch.into_iter().unzip();
+        let outcome = self.submit(input::Input::Propose(payloads));
         match outcome {
             Ok(mut at) => {
-                for answer in answers {
-                    self.waiters.proposal(at, answer);
+                for reply in replies {
+                    self.waiters.add_proposal(at, reply);
                     at.index = at.index.next();
                 }
             }
             Err(refusal) => {
-                let error = self.log_error(&refusal);
-                for answer in answers {
-                    drop(answer.send(Err(error.clone())));
+                let error = self.to_log_error(&refusal);
+                for reply in replies {
+                    drop(reply.send(Err(error.clone())));
                 }
             }
         }
--- a/crates/cranberrygap-control/src/replica/core/forming.rs
+++ b/crates/cranberrygap-control/src/replica/task/forming.rs
@@ -2,66 +2,66 @@
 
 use std::time;
 
-use cranberrygap_agreement::{formation as forming, hard, input, node, packet, replica, write};
+use cranberrygap_agreement::{formation, hard, input, node, packet, replica, write};
 use cranberrygap_model::{address, number};
 use serde_json::{Value, json};
 
-use super::{Core, Phase};
+use super::{Phase, Task};
 use crate::replica::{dump, random, writer};
 
 /// What a replica says of itself.
-pub(super) fn hello(id: replica::Id, peer: &address::Peer) -> forming::Hello {
+pub(super) fn new_hello(id: replica::Id, peer: &address::Peer) -> formation::Hello {
     let peer = peer.clone();
-    forming::Hello { id, peer }
+    formation::Hello { id, peer }
 }
 
-impl Core {
+impl Task {
     /// Presents this replica to the voters if it is no member of a group.
     pub(super) fn present(&mut self) {
-        self.presented = time::Instant::now();
-        let member = match &self.phase {
+        self.last_presented = time::Instant::now();
+        let is_member = match &self.phase {
             Phase::Forming(_) => false,
-            Phase::Running(node) => node.members().0.contains_key(&self.own),
+            Phase::Running(node) => node.members().0.contains_key(&self.id),
             Phase::Joining(_) | Phase::Failed => true,
         };
-        if member {
+        if is_member {
             return;
         }
-        let packet = packet::Packet::Hello(hello(self.own, &self.parts.settings.own));
-        for peer in &self.parts.settings.voters {
-            if peer.instance != self.parts.settings.own.instance {
+        let packet = packet::Packet::Hello(new_hello(self.id, &self.environment.settings.own));
+        for peer in &self.environment.settings.voters {
+            if peer.instance != self.environment.settings.own.instance {
                 self.send_packet(peer, &packet);
             }
         }
     }
 
     /// Forms the group if this replica is the one to do it.
-    pub(super) fn try_found(&mut self) {
-        let Phase::Forming(forming) = &self.phase else {
+    pub(super) fn try_form_group(&mut self) {
+        let Phase::Forming(formation) = &self.phase else {
             return;
         };
-        if !self.parts.settings.founds {
+        if !self.environment.settings.founds {
             return;
         }
         let Ok(group) = random() else {
             return;
         };
-        let outcome = forming.try_form(replica::Group(group));
-        self.conclude(outcome);
+        let outcome = formation.try_form(replica::Group(group));
+        self.handle_outcome(outcome);
     }
 
     /// Takes what a replica without a group says of itself.
-    pub(super) fn hello(&mut self, from: &address::Peer, hello: forming::Hello) {
-        if let Phase::Forming(forming) = &mut self.phase {
-            forming.receive_hello(&hello);
-            self.try_found();
+    pub(super) fn handle_hello(&mut self, from: &address::Peer, hello: formation::Hello) {
+        if let Phase::Forming(formation) = &mut self.phase {
+            formation.receive_hello(&hello);
+            self.try_form_group();
             return;
         }
         if matches!(self.phase, Phase::Running(_)) {
             if *from == hello.peer {
-                self.pass_on(&hello);
+                self.forward_hello(&hello);
             }
-            self.directory.present(hello);
+            self.directory.record_hello(hello);
             if let Some(formed) = self.formed.clone() {
                 self.send_packet(from, &packet::Packet::Formed(formed));
             }
@@ -72,33 +72,33 @@
     ///
     /// A replica knows the processes that its settings name, and the leader, who alone can
     /// take it in, need not be one of them.
-    fn pass_on(&self, hello: &forming::Hello) {
+    fn forward_hello(&self, hello: &formation::Hello) {
         let Phase::Running(node) = &self.phase else {
             return;
         };
-        let leader = node.leader().filter(|leader| *leader != self.own);
-        if let Some(leader) = leader.and_then(|leader| self.peer(leader)) {
+        let leader = node.leader().filter(|leader| *leader != self.id);
+        if let Some(leader) = leader.and_then(|leader| self.peer_of(leader)) {
             self.send_packet(&leader, &packet::Packet::Hello(hello.clone()));
         }
     }
 
     /// Takes what a replica with a group says of it.
-    pub(super) fn learn(&mut self, formed: &forming::Formed) {
-        if let Phase::Forming(forming) = &self.phase {
-            let outcome = forming.receive_formed(formed);
-            self.conclude(outcome);
+    pub(super) fn handle_formed(&mut self, formed: &formation::Formed) {
+        if let Phase::Forming(formation) = &self.phase {
+            let outcome = formation.receive_formed(formed);
+            self.handle_outcome(outcome);
         }
     }
 
-    fn conclude(&mut self, outcome: forming::Outcome) {
-        let own = &self.parts.settings.own;
+    fn handle_outcome(&mut self, outcome: formation::Outcome) {
+        let own = &self.environment.settings.own;
         match outcome {
-            forming::Outcome::Waiting => {}
-            forming::Outcome::Founder(formed) => {
-                spdlog::info!("agreement: a founder of group {}", formed.group);
-                self.join(formed, true);
+            formation::Outcome::Waiting => {}
+            formation::Outcome::Founder(formed) => {
+                spdlog::info!("agreement: joins group {} as a founder", formed.group);
+                self.join_group(formed, true);
             }
-            forming::Outcome::NonMember { formed, lost_disk } => {
+            formation::Outcome::NonMember { formed, lost_disk } => {
                 if lost_disk {
                     spdlog::error!(
                         "agreement: the folder is new, but {} was a voter of group {} with another \
@@ -109,36 +109,36 @@
                 }
                 spdlog::info!(
                     "agreement: replica {} of {} waits to be added to group {} as a learner",
-                    self.own,
+                    self.id,
                     own.instance,
                     formed.group
                 );
-                self.join(formed, false);
+                self.join_group(formed, false);
             }
         }
     }
 
-    fn join(&mut self, formed: forming::Formed, founder: bool) {
+    fn join_group(&mut self, formed: formation::Formed, is_founder: bool) {
         let hard = hard::State {
             term: number::Term(1),
             vote: None,
         };
-        let entries = if founder {
+        let entries = if is_founder {
             vec![formed.first_entry()]
         } else {
             Vec::new()
         };
         let start = node::Start::builder()
-            .id(self.own)
+            .id(self.id)
             .group(formed.group)
-            .timing(self.parts.settings.timing)
-            .limits(self.parts.settings.limits)
-            .seed(self.parts.seed)
+            .timing(self.environment.settings.timing)
+            .limits(self.environment.settings.limits)
+            .seed(self.environment.seed)
             .hard(hard)
             .entries(entries.clone())
             .fresh(true)
             .build();
-        let node = node::Node::new(start, self.parts.clock.now());
+        let node = node::Node::new(start, self.environment.clock.now());
         let first = write::Write {
             hard: Some(hard),
             entries,
@@ -150,7 +150,7 @@
     }
 
     /// The group is durable; takes part from now on.
-    pub(super) fn joined(&mut self) {
+    pub(super) fn finish_join(&mut self) {
         match std::mem::replace(&mut self.phase, Phase::Failed) {
             Phase::Joining(node) => self.phase = Phase::Running(node),
             other => self.phase = other,
@@ -159,48 +159,48 @@
     }
 
     /// Shows the handle where the replica stands.
-    pub(super) fn publish(&mut self) {
+    pub(super) fn publish_status(&mut self) {
         let Phase::Running(node) = &self.phase else {
-            self.parts.published.write().lease_end = None;
+            self.environment.published.write().lease_end = None;
             return;
         };
-        let leader = node.leader().and_then(|id| self.peer(id));
-        let own = node.is_leader();
-        let settled = node.may_grant(self.parts.clock.now());
-        let mut published = self.parts.published.write();
+        let leader = node.leader().and_then(|id| self.peer_of(id));
+        let leads = node.is_leader();
+        let may_grant = node.may_grant(self.environment.clock.now());
+        let mut published = self.environment.published.write();
         published.term = node.hard().term;
         published.leader = leader;
-        published.own = own;
+        published.leader_is_self = leads;
         published.committed = node.committed();
         published.applied = node.applied();
-        published.lease_end = node.lease_end().filter(|_| settled);
+        published.lease_end = node.lease_end().filter(|_| may_grant);
     }
 
     pub(super) fn dump(&self) -> Value {
-        let now = self.parts.clock.now();
-        let presented = self
+        let now = self.environment.clock.now();
+        let hellos = self
             .directory
-            .all_presented()
+            .iter_hellos()
             .map(|hello| json!({ "replica": hello.id.to_string(), "peer": hello.peer }));
-        let presented: Vec<Value> = presented.collect();
+        let hellos: Vec<Value> = hellos.collect();
         let (phase, state) = match &self.phase {
-            Phase::Forming(forming) => ("forming", json!({ "missing": forming.missing() })),
-            Phase::Joining(node) => ("joining", dump::node(node, now)),
-            Phase::Running(node) => ("running", dump::node(node, now)),
+            Phase::Forming(formation) => ("forming", json!({ "missing": formation.missing() })),
+            Phase::Joining(node) => ("joining", dump::dump_node(node, now)),
+            Phase::Running(node) => ("running", dump::dump_node(node, now)),
             Phase::Failed => (
                 "failed",
-                json!({ "cause": self.parts.published.read().failure }),
+                json!({ "cause": self.environment.published.read().failure }),
             ),
         };
         json!({
-            "own": self.parts.settings.own,
-            "replica": self.own.to_string(),
+            "own": self.environment.settings.own,
+            "replica": self.id.to_string(),
             "group": self.formed.as_ref().map(|formed| formed.group.to_string()),
             "phase": phase,
             "state": state,
-            "presented": presented,
+            "presented": hellos,
             "waiting_proposals": self.waiters.len(),
-            "folder": self.parts.settings.folder.display().to_string(),
+            "folder": self.environment.settings.folder.display().to_string(),
         })
     }
 }
--- a/crates/cranberrygap-control/src/replica/core/membership.rs
+++ b/crates/cranberrygap-control/src/replica/task/membership.rs
@@ -3,110 +3,110 @@
 use cranberrygap_agreement::{change, input, output, position, replica};
 use cranberrygap_model::{address, id};
 
-use super::{Core, Phase};
+use super::{Phase, Task};
 use crate::log;
-use crate::replica::{Error, request, standing};
+use crate::replica::{Error, group_status, request};
 
-impl Core {
+impl Task {
     /// Gives the node an input that it takes or refuses.
-    pub(super) fn ask(
+    pub(super) fn submit(
         &mut self,
         input: input::Input,
     ) -> Result<position::Position, output::Refusal> {
-        let now = self.parts.clock.now();
+        let now = self.environment.clock.now();
         let mut outcome = Err(output::Refusal::NotLeader { leader: None });
         let Phase::Running(node) = &mut self.phase else {
             return outcome;
         };
         for output in node.step(now, input) {
             match output {
-                output::Output::Accepted(at) => outcome = Ok(at),
+                output::Output::Accepted(position) => outcome = Ok(position),
                 output::Output::Refused(refusal) => outcome = Err(refusal),
-                other => self.carry_out(other),
+                other => self.execute(other),
             }
         }
         outcome
     }
 
-    pub(super) fn log_error(&self, refusal: &output::Refusal) -> log::Error {
+    pub(super) fn to_log_error(&self, refusal: &output::Refusal) -> log::Error {
         match refusal {
             output::Refusal::Full => log::Error::Full,
             output::Refusal::TooLarge { limit } => log::Error::TooLarge { limit: *limit },
             output::Refusal::NotLeader { leader } => log::Error::NotLeader {
-                leader: leader.and_then(|id| self.peer(id)),
+                leader: leader.and_then(|id| self.peer_of(id)),
             },
             _ => log::Error::NotLeader { leader: None },
         }
     }
 
-    fn error(&self, refusal: output::Refusal) -> Error {
+    fn to_error(&self, refusal: output::Refusal) -> Error {
         match refusal {
             output::Refusal::NotLeader { leader } => Error::NotLeader {
-                leader: leader.and_then(|id| self.peer(id)),
+                leader: leader.and_then(|id| self.peer_of(id)),
             },
             other => Error::Refused(other),
         }
     }
 
-    pub(super) fn change(
+    pub(super) fn change_by_instance(
         &mut self,
-        wanted: request::Change,
+        requested: request::Change,
         instance: &id::Instance,
-        answer: request::Done,
+        reply: request::Reply,
     ) {
-        let outcome = self.begin_change(wanted, instance);
+        let outcome = self.submit_change(requested, instance);
         match outcome {
-            Ok(at) => {
+            Ok(position) => {
                 spdlog::info!(
-                    "agreement: {wanted:?} {instance} proposed as entry {}",
-                    at.index
+                    "agreement: {requested:?} {instance} proposed as entry {}",
+                    position.index
                 );
-                self.waiters.change(at, answer);
+                self.waiters.add_change(position, reply);
             }
-            Err(error) => drop(answer.send(Err(error))),
+            Err(error) => drop(reply.send(Err(error))),
         }
         self.after_step();
     }
 
-    fn begin_change(
+    fn submit_change(
         &mut self,
-        wanted: request::Change,
+        requested: request::Change,
         instance: &id::Instance,
     ) -> Result<position::Position, Error> {
-        let change = self.resolve(wanted, instance)?;
+        let change = self.resolve_change(requested, instance)?;
         if let change::Change::Remove(id) = change {
-            self.directory.forget(id);
+            self.directory.remove_hello(id);
         }
-        let outcome = self.ask(input::Input::Change(change));
-        outcome.map_err(|refusal| self.error(refusal))
+        let outcome = self.submit(input::Input::Change(change));
+        outcome.map_err(|refusal| self.to_error(refusal))
     }
 
     /// Carries out a change that names replicas, not instances.
-    pub(super) fn alter(&mut self, change: change::Change, answer: request::Done) {
+    pub(super) fn change_by_id(&mut self, change: change::Change, reply: request::Reply) {
         spdlog::info!("agreement: {change:?} is proposed");
         if let change::Change::Remove(id) = change {
-            self.directory.forget(id);
+            self.directory.remove_hello(id);
         }
-        match self.ask(input::Input::Change(change)) {
-            Ok(at) => self.waiters.change(at, answer),
-            Err(refusal) => drop(answer.send(Err(self.error(refusal)))),
+        match self.submit(input::Input::Change(change)) {
+            Ok(position) => self.waiters.add_change(position, reply),
+            Err(refusal) => drop(reply.send(Err(self.to_error(refusal)))),
         }
         self.after_step();
     }
 
     /// What a leader knows of the members and of who would be one.
-    pub(super) fn standing(&self) -> Option<standing::Standing> {
+    pub(super) fn group_status(&self) -> Option<group_status::GroupStatus> {
         let Phase::Running(node) = &self.phase else {
             return None;
         };
         if !node.is_leader() {
             return None;
         }
-        let now = self.parts.clock.now();
-        Some(standing::Standing {
-            own: self.own,
+        let now = self.environment.clock.now();
+        Some(group_status::GroupStatus {
+            leader: self.id,
             now,
-            last: node.log().last().index,
+            last_index: node.log().last().index,
             members: node.members().clone(),
             progress: node.progress(),
             newcomers: self.directory.newcomers(),
@@ -114,31 +114,35 @@
     }
 
     /// Finds the replica that is meant by an instance's name.
-    fn resolve(
+    fn resolve_change(
         &self,
-        wanted: request::Change,
+        requested: request::Change,
         instance: &id::Instance,
     ) -> Result<change::Change, Error> {
-        let missing = || Error::Refused(output::Refusal::NoSuchMember);
-        match wanted {
+        let no_such_member = || Error::Refused(output::Refusal::NoSuchMember);
+        match requested {
             request::Change::AddLearner => {
-                let hello = self.directory.presented(instance);
+                let hello = self.directory.hello_of(instance);
                 let hello = hello.ok_or_else(|| Error::NotHeard(instance.clone()))?;
                 let (id, peer) = (hello.id, hello.peer.clone());
                 Ok(change::Change::AddLearner { id, peer })
             }
             request::Change::Promote => {
-                let learner = self.member(instance, false);
-                learner.map(change::Change::Promote).ok_or_else(missing)
+                let learner = self.find_member(instance, false);
+                learner
+                    .map(change::Change::Promote)
+                    .ok_or_else(no_such_member)
             }
             request::Change::Remove => {
-                let found = self.most_silent(instance);
-                found.map(change::Change::Remove).ok_or_else(missing)
+                let member = self.longest_silent_member(instance);
+                member
+                    .map(change::Change::Remove)
+                    .ok_or_else(no_such_member)
             }
         }
     }
 
-    fn member(&self, instance: &id::Instance, voter: bool) -> Option<replica::Id> {
+    fn find_member(&self, instance: &id::Instance, voter: bool) -> Option<replica::Id> {
         match &self.phase {
             Phase::Running(node) => node.members().find(instance, voter),
             _ => None,
@@ -149,26 +153,26 @@
     ///
     /// An instance that came back after the loss of its disk has two replicas in
     /// the group for a time. Taking the new one out would leave the dead one.
-    fn most_silent(&self, instance: &id::Instance) -> Option<replica::Id> {
+    fn longest_silent_member(&self, instance: &id::Instance) -> Option<replica::Id> {
         let Phase::Running(node) = &self.phase else {
             return None;
         };
         let progress = node.progress();
-        let named = node.members().0.iter();
-        let named = named.filter(|(_, member)| member.peer.instance == *instance);
-        let chosen = named.min_by_key(|(id, member)| {
-            let own = **id == self.own;
-            let answered = progress.get(id).and_then(|found| found.acknowledged);
+        let candidates = node.members().0.iter();
+        let candidates = candidates.filter(|(_, member)| member.peer.instance == *instance);
+        let longest_silent = candidates.min_by_key(|(id, member)| {
+            let own = **id == self.id;
+            let answered = progress.get(id).and_then(|progress| progress.acknowledged);
             (own, !member.voter, answered)
         });
-        chosen.map(|(id, _)| *id)
+        longest_silent.map(|(id, _)| *id)
     }
 
-    pub(super) fn begin_transfer(&mut self, answer: request::Done) {
-        match self.ask(input::Input::Transfer(None)) {
-            Ok(_) => self.transfer = Some(answer),
-            Err(output::Refusal::NotLeader { .. }) => drop(answer.send(Ok(()))),
-            Err(refusal) => drop(answer.send(Err(self.error(refusal)))),
+    pub(super) fn begin_transfer(&mut self, reply: request::Reply) {
+        match self.submit(input::Input::Transfer(None)) {
+            Ok(_) => self.pending_transfer = Some(reply),
+            Err(output::Refusal::NotLeader { .. }) => drop(reply.send(Ok(()))),
+            Err(refusal) => drop(reply.send(Err(self.to_error(refusal)))),
         }
         self.after_step();
     }
@@ -178,11 +182,11 @@
     /// A founder is reached by the address in this process's own settings: the
     /// membership holds the one by which another founder reaches it. A later
     /// member may be newer than the settings.
-    pub(super) fn peer(&self, id: replica::Id) -> Option<address::Peer> {
+    pub(super) fn peer_of(&self, id: replica::Id) -> Option<address::Peer> {
         let founder = self.formed.as_ref()?.founders.0.get(&id);
         let listed = founder.and_then(|member| {
             let instance = &member.peer.instance;
-            let mut voters = self.parts.settings.voters.iter();
+            let mut voters = self.environment.settings.voters.iter();
             voters.find(|voter| voter.instance == *instance)
         });
         let member = match &self.phase {
--- a/crates/cranberrygap-control/src/replica/waiters.rs
+++ b/crates/cranberrygap-control/src/replica/waiters.rs
@@ -12,8 +12,8 @@
 /// Who is told when an entry commits.
 #[derive(Debug)]
 enum Waiter {
-    Proposal(request::Committed),
-    Change(request::Done),
+    Proposal(request::ProposalReply),
+    Change(request::Reply),
 }
 
 /// Waiters by the index that their entry got.
@@ -21,30 +21,36 @@
 pub(super) struct Waiters(BTreeMap<number::Index, (number::Term, Waiter)>);
 
 impl Waiters {
-    pub(super) fn proposal(&mut self, at: position::Position, answer: request::Committed) {
-        self.0.insert(at.index, (at.term, Waiter::Proposal(answer)));
+    pub(super) fn add_proposal(
+        &mut self,
+        position: position::Position,
+        reply: request::ProposalReply,
+    ) {
+        self.0
+            .insert(position.index, (position.term, Waiter::Proposal(reply)));
     }
 
-    pub(super) fn change(&mut self, at: position::Position, answer: request::Done) {
-        self.0.insert(at.index, (at.term, Waiter::Change(answer)));
+    pub(super) fn add_change(&mut self, position: position::Position, reply: request::Reply) {
+        self.0
+            .insert(position.index, (position.term, Waiter::Change(reply)));
     }
 
     /// Tells who waits for the entry at `at`.
-    pub(super) fn settle(&mut self, at: position::Position, answer: &Bytes) {
-        let Some((term, waiter)) = self.0.remove(&at.index) else {
+    pub(super) fn complete(&mut self, position: position::Position, answer: &Bytes) {
+        let Some((term, waiter)) = self.0.remove(&position.index) else {
             return;
         };
-        if term != at.term {
-            unknown(waiter);
+        if term != position.term {
+            fail(waiter);
             return;
         }
         match waiter {
-            Waiter::Proposal(sender) => {
-                let index = at.index;
+            Waiter::Proposal(reply) => {
+                let index = position.index;
                 let answer = answer.clone();
-                drop(sender.send(Ok(log::Committed { index, answer })));
+                drop(reply.send(Ok(log::Committed { index, answer })));
             }
-            Waiter::Change(sender) => drop(sender.send(Ok(()))),
+            Waiter::Change(reply) => drop(reply.send(Ok(()))),
         }
     }
 
@@ -53,10 +59,10 @@
     /// A leader that lost its leadership cannot tell whether its successor commits
     /// what it proposed. The callers are told at once, so that they can ask the
     /// successor.
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn fail_all(&mut self) {
         let waiting = std::mem::take(&mut self.0);
         for (_, waiter) in waiting.into_values() {
-            unknown(waiter);
+            fail(waiter);
         }
     }
 
@@ -65,9 +71,9 @@
     }
 }
 
-fn unknown(waiter: Waiter) {
+fn fail(waiter: Waiter) {
     match waiter {
-        Waiter::Proposal(sender) => drop(sender.send(Err(log::Error::Unknown))),
-        Waiter::Change(sender) => drop(sender.send(Err(super::Error::Unknown))),
+        Waiter::Proposal(reply) => drop(reply.send(Err(log::Error::Unknown))),
+        Waiter::Change(reply) => drop(reply.send(Err(super::Error::Unknown))),
     }
 }
--- a/crates/cranberrygap-control/src/replica/writer.rs
+++ b/crates/cranberrygap-control/src/replica/writer.rs
@@ -23,14 +23,14 @@
 pub(super) enum Done {
     Written {
         ticket: u64,
-        then: Vec<message::Message>,
+        send_after: Vec<message::Message>,
     },
     Joined,
     Failed(error::Error),
 }
 
 /// Writes that go into one sync at most; bounds the memory of a batch.
-const BATCH: usize = 1_024;
+const MAX_WRITES_PER_SYNC: usize = 1_024;
 
 /// Starts the thread; it ends when the sender is dropped or a write fails.
 pub(super) fn start(
@@ -41,8 +41,8 @@
     let run = move || {
         while let Ok(first) = incoming.recv() {
             let mut batch = vec![first];
-            batch.extend(incoming.try_iter().take(BATCH));
-            if let Err(cause) = carry_out(&mut folder, batch, &done) {
+            batch.extend(incoming.try_iter().take(MAX_WRITES_PER_SYNC));
+            if let Err(cause) = write_batch(&mut folder, batch, &done) {
                 drop(done.send(Done::Failed(cause)));
                 return;
             }
@@ -53,7 +53,7 @@
     Ok((jobs, receiver))
 }
 
-fn carry_out(
+fn write_batch(
     folder: &mut folder::Folder,
     batch: Vec<Job>,
     done: &channel::UnboundedSender<Done>,
@@ -72,8 +72,8 @@
     folder.write(&writes)?;
     for write in writes {
         let ticket = write.ticket;
-        let then = write.send_after;
-        drop(done.send(Done::Written { ticket, then }));
+        let send_after = write.send_after;
+        drop(done.send(Done::Written { ticket, send_after }));
     }
     Ok(())
 }
--- a/crates/cranberrygap-control/src/replicated.rs
+++ b/crates/cranberrygap-control/src/replicated.rs
@@ -14,11 +14,11 @@
 use crate::state_machine;
 
 /// News that a slow subscriber may be behind before it gets a new snapshot.
-const NEWS_BUFFER: usize = 1_024;
+const MAX_BUFFERED_UPDATES: usize = 1_024;
 
 /// News of the state.
 #[derive(Debug, Clone)]
-pub enum News {
+pub enum Update {
     /// These changes lead to a revision.
     Changed(number::Revision, Arc<Vec<Arc<encoded::Change>>>),
     /// The whole state was replaced by a leader's snapshot.
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct State {
     fleet: RwLock<fleet::Fleet>,
-    news: broadcast::Sender<News>,
+    updates: broadcast::Sender<Update>,
     metrics: metric::Recorder,
 }
 
@@ -40,7 +40,7 @@
         Self {
             metrics,
             fleet: RwLock::default(),
-            news: broadcast::Sender::new(NEWS_BUFFER),
+            updates: broadcast::Sender::new(MAX_BUFFERED_UPDATES),
         }
     }
 
@@ -51,15 +51,15 @@
 
     /// The whole view and everything that comes after it.
     #[must_use]
-    pub fn subscribe(&self) -> (view::Frame, broadcast::Receiver<News>) {
+    pub fn subscribe(&self) -> (view::Frame, broadcast::Receiver<Update>) {
         let fleet = self.fleet.read();
-        let news = self.news.subscribe();
+        let update = self.updates.subscribe();
         let frame = view::Frame::Snapshot {
             revision: fleet.view_revision,
             state: fleet.view(),
         };
         drop(fleet);
-        (frame, news)
+        (frame, update)
     }
 
     /// Number of control processes beside one.
@@ -75,19 +75,19 @@
 
     /// Number of subscribers.
     #[must_use]
-    pub fn followers(&self) -> usize {
-        self.news.receiver_count()
+    pub fn subscribers(&self) -> usize {
+        self.updates.receiver_count()
     }
 
     /// Revision of the last change that entries must have in force to get a lease.
     #[must_use]
-    pub fn binding(&self) -> number::Revision {
+    pub fn binding_revision(&self) -> number::Revision {
         self.fleet.read().binding_revision
     }
 
     /// Revision of the last change that entries learn of.
     #[must_use]
-    pub fn seen(&self) -> number::Revision {
+    pub fn view_revision(&self) -> number::Revision {
         self.fleet.read().view_revision
     }
 }
@@ -101,25 +101,25 @@
 impl state_machine::StateMachine for State {
     fn apply(&self, index: number::Index, payload: &[u8]) -> Bytes {
         self.metrics
-            .work(metric::Work::Apply, || self.take(index, payload))
+            .measure(metric::Work::Apply, || self.apply_payload(index, payload))
     }
 
     fn snapshot(&self) -> Bytes {
         let snapshot = || Bytes::from(self.fleet.read().snapshot());
-        self.metrics.work(metric::Work::Snapshot, snapshot)
+        self.metrics.measure(metric::Work::Snapshot, snapshot)
     }
 
     fn restore(&self, _index: number::Index, snapshot: &[u8]) -> Result<(), String> {
         let restored = fleet::Fleet::restore(snapshot).map_err(|cause| cause.to_string())?;
         let mut fleet = self.fleet.write();
         *fleet = restored;
-        drop(self.news.send(News::Replaced));
+        drop(self.updates.send(Update::Replaced));
         Ok(())
     }
 }
 
 impl State {
-    fn take(&self, index: number::Index, payload: &[u8]) -> Bytes {
+    fn apply_payload(&self, index: number::Index, payload: &[u8]) -> Bytes {
         let answer = match serde_json::from_slice::<command::Proposal>(payload) {
             Ok(proposal) => {
                 let subject = proposal.command.subject();
@@ -130,10 +130,10 @@
                     let changes = changes
                         .into_iter()
                         .map(|change| Arc::new(encoded::Change::new(change)));
-                    let news = News::Changed(fleet.view_revision, Arc::new(changes.collect()));
+                    let update = Update::Changed(fleet.view_revision, Arc::new(changes.collect()));
                     // Sent under the lock, so that no subscriber misses it. Fails
                     // only while there is no subscriber.
-                    drop(self.news.send(news));
+                    drop(self.updates.send(update));
                 }
                 answer
             }
@@ -145,12 +145,12 @@
     }
 }
 
-/// Reads the answer of [`State::apply`].
+/// Reads the answer of [`state_machine::StateMachine::apply`].
 ///
 /// # Panics
 ///
 /// When the bytes are not an answer, which `apply` rules out.
 #[must_use]
-pub fn answer(bytes: &[u8]) -> answer::Answer {
+pub fn decode_answer(bytes: &[u8]) -> answer::Answer {
     serde_json::from_slice(bytes).expect("the state machine answers in this form")
 }
