--- a/crates/cranberrygap-control/src/residency.rs
+++ b/crates/cranberrygap-control/src/residency.rs
@@ -4,7 +4,7 @@
 //! to it over a channel, so that a slow runner delays nobody else.
 
 mod demand;
-mod leadership;
+mod term;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,16 +24,14 @@
 use crate::proposer;
 use crate::replicated;
 
-use leadership::Leadership;
-
 /// Time between two looks.
-const PERIOD: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// News that may wait for the task.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// Longest wait of an entry for an adapter; the book answers earlier.
-const WANT_DEADLINE: Duration = Duration::from_secs(2);
+const ADAPTER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a runner did not answer.
 #[derive(Debug, thiserror::Error)]
@@ -42,7 +40,7 @@
     #[error("no answer: {0}")]
     NoAnswer(SmolStr),
     /// The answer cannot be read.
-    #[error("the answer is not in the expected form: {0}")]
+    #[error("invalid response: {0}")]
     Malformed(SmolStr),
 }
 
@@ -68,20 +66,24 @@
 /// Runners that nobody can reach, for fleets without such.
 #[must_use]
 pub fn no_runners() -> Arc<dyn RunnerClient> {
-    Arc::new(NoRunners)
+    Arc::new(NoRunnerClient)
 }
 
 #[derive(Debug, Clone, Copy)]
-struct NoRunners;
+struct NoRunnerClient;
 
-impl RunnerClient for NoRunners {
+impl RunnerClient for NoRunnerClient {
     fn send_order<'call>(
         &'call self,
         _holder: &'call id::Instance,
         _fence: number::Fence,
         _order: &'call order::Order,
     ) -> BoxFuture<'call, Result<order::Verdict, Error>> {
-        Box::pin(async { Err(Error::NoAnswer("no form of orders is set up".into())) })
+        Box::pin(async {
+            Err(Error::NoAnswer(
+                "no protocol for orders is configured".into(),
+            ))
+        })
     }
 
     fn fetch_report<'call>(
@@ -89,217 +91,233 @@
         _address: address::Socket,
         _endpoint: &'call id::Endpoint,
     ) -> BoxFuture<'call, Result<order::Report, Error>> {
-        Box::pin(async { Err(Error::NoAnswer("no form of orders is set up".into())) })
+        Box::pin(async {
+            Err(Error::NoAnswer(
+                "no protocol for orders is configured".into(),
+            ))
+        })
     }
 }
 
 /// Demand and wishes of the entries, and the leader's dump.
 #[derive(Debug)]
-pub(crate) struct Residency {
+pub(crate) struct Coordinator {
     state: Arc<replicated::State>,
     proposer: proposer::Proposer,
-    runners: Arc<dyn RunnerClient>,
-    holder: id::Instance,
+    runner_client: Arc<dyn RunnerClient>,
+    instance: id::Instance,
     clock: clock::Clock,
-    demand: Mutex<demand::Demand>,
-    news: mpsc::Sender<News>,
-    receiver: Mutex<Option<mpsc::Receiver<News>>>,
-    tickets: AtomicU64,
+    demand: Mutex<demand::Estimate>,
+    events: mpsc::Sender<Event>,
+    event_receiver: Mutex<Option<mpsc::Receiver<Event>>>,
+    next_ticket: AtomicU64,
     metrics: metric::Recorder,
 }
 
 /// News for the task, of the term with this start.
 #[derive(Debug)]
-enum News {
+enum Event {
     Dump(oneshot::Sender<serde_json::Value>),
-    Want(u64, traffic::Want, oneshot::Sender<Option<id::Endpoint>>),
+    AdapterRequested(u64, traffic::Want, oneshot::Sender<Option<id::Endpoint>>),
     Reported(duration::Instant, id::Service, id::Endpoint, order::Report),
-    Answered(
+    OrderAnswered(
         duration::Instant,
         id::Service,
         id::Endpoint,
         u64,
         order::Verdict,
     ),
-    Unanswered(duration::Instant, id::Service, id::Endpoint, u64),
-    Told(duration::Instant, id::Service, view::Residency),
+    OrderUnanswered(duration::Instant, id::Service, id::Endpoint, u64),
+    ResidencyCommitted(duration::Instant, id::Service, view::Residency),
 }
 
-impl Residency {
+impl Coordinator {
     pub(crate) fn new(
         state: Arc<replicated::State>,
         proposer: proposer::Proposer,
-        runners: Arc<dyn RunnerClient>,
-        holder: id::Instance,
+        runner_client: Arc<dyn RunnerClient>,
+        instance: id::Instance,
         clock: clock::Clock,
         metrics: metric::Recorder,
     ) -> Self {
-        let (news, receiver) = mpsc::channel(QUEUE);
+        let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
         Self {
             state,
             proposer,
-            runners,
-            holder,
+            runner_client,
+            instance,
             clock,
-            demand: Mutex::new(demand::Demand::new()),
-            news,
-            receiver: Mutex::new(Some(receiver)),
-            tickets: AtomicU64::new(1),
+            demand: Mutex::new(demand::Estimate::new()),
+            events,
+            event_receiver: Mutex::new(Some(receiver)),
+            next_ticket: AtomicU64::new(1),
             metrics,
         }
     }
 
     /// Counts demand that an entry reports.
-    pub(crate) fn count(&self, demands: &[view::Demand]) {
-        self.demand.lock().count(self.clock.now(), demands);
+    pub(crate) fn record_demand(&self, demands: &[view::Demand]) {
+        self.demand.lock().record(self.clock.now(), demands);
     }
 
     /// The books for people.
     pub(crate) async fn dump(&self) -> serde_json::Value {
-        if self.receiver.lock().is_some() {
+        if self.event_receiver.lock().is_some() {
             // The task was not started: nothing is moved by the traffic plan.
             return serde_json::Value::Null;
         }
-        let (answer, answered) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         // A task that has ended keeps no books.
-        drop(self.news.send(News::Dump(answer)).await);
-        answered.await.unwrap_or(serde_json::Value::Null)
+        drop(self.events.send(Event::Dump(reply)).await);
+        response.await.unwrap_or(serde_json::Value::Null)
     }
 
     /// Finds or fetches an adapter for an entry.
-    pub(crate) async fn want(&self, want: traffic::Want) -> Result<traffic::Placed, server::Fault> {
+    pub(crate) async fn request_adapter(
+        &self,
+        want: traffic::Want,
+    ) -> Result<traffic::Placed, server::Fault> {
         self.proposer.check_leads()?;
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
-        let (answer, answered) = oneshot::channel();
-        let full = self
-            .news
-            .try_send(News::Want(ticket, want, answer))
+        let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
+        let (reply, response) = oneshot::channel();
+        let is_full = self
+            .events
+            .try_send(Event::AdapterRequested(ticket, want, reply))
             .is_err();
-        if full {
-            let sentence = "too much waits for the leader";
-            return Err(server::Fault::new(method::NO_QUORUM, sentence));
+        if is_full {
+            let message = "too many events wait for the leader";
+            return Err(server::Fault::new(method::NO_QUORUM, message));
         }
-        let answered = tokio::time::timeout(WANT_DEADLINE, answered).await;
-        let endpoint = answered.ok().and_then(Result::ok).flatten();
+        let response = tokio::time::timeout(ADAPTER_TIMEOUT, response).await;
+        let endpoint = response.ok().and_then(Result::ok).flatten();
         Ok(traffic::Placed { endpoint })
     }
 
     /// Moves models and adapters until the process stops.
-    pub(crate) async fn watch(self: Arc<Self>) {
-        let Some(mut receiver) = self.receiver.lock().take() else {
+    pub(crate) async fn run(self: Arc<Self>) {
+        let Some(mut receiver) = self.event_receiver.lock().take() else {
             return;
         };
-        let mut ticker = tokio::time::interval(PERIOD);
+        let mut ticker = tokio::time::interval(TICK_INTERVAL);
         ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut held: Option<Leadership> = None;
+        let mut current: Option<term::State> = None;
         loop {
-            let wake = self.wake(held.as_ref());
+            let next_wake = self.time_to_wake(current.as_ref());
             tokio::select! {
-                news = receiver.recv() => {
-                    let Some(news) = news else { return };
-                    self.hear(&mut held, news);
-                    while let Ok(news) = receiver.try_recv() {
-                        self.hear(&mut held, news);
+                event = receiver.recv() => {
+                    let Some(event) = event else { return };
+                    self.handle(&mut current, event);
+                    while let Ok(event) = receiver.try_recv() {
+                        self.handle(&mut current, event);
                     }
-                    self.step(&mut held);
+                    self.advance(&mut current);
                 }
-                () = tokio::time::sleep(wake) => self.step(&mut held),
+                () = tokio::time::sleep(next_wake) => self.advance(&mut current),
                 _ = ticker.tick() => {
-                    held = self.take_office(held);
-                    if let Some(leadership) = &mut held {
-                        let follow = || self.follow(leadership);
-                        self.metrics.work(metric::Work::Placement, follow);
+                    current = self.enter_term(current);
+                    if let Some(term) = &mut current {
+                        let update = || self.update_planners(term);
+                        self.metrics.measure(metric::Work::Placement, update);
                     }
-                    self.step(&mut held);
+                    self.advance(&mut current);
                 }
             }
         }
     }
 
     /// Time until somebody who waits can be answered.
-    fn wake(&self, held: Option<&Leadership>) -> Duration {
-        let books = held
-            .into_iter()
-            .flat_map(|leadership| leadership.books.values());
-        let wake = books.filter_map(planner::Planner::next_wake).min();
-        wake.map_or(PERIOD, |wake| wake.since(self.clock.now()).to_std())
+    fn time_to_wake(&self, current: Option<&term::State>) -> Duration {
+        let planners = current.into_iter().flat_map(|term| term.planners.values());
+        let next_wake = planners.filter_map(planner::Planner::next_wake).min();
+        next_wake.map_or(TICK_INTERVAL, |next_wake| {
+            next_wake.since(self.clock.now()).to_std()
+        })
     }
 
-    fn take_office(&self, held: Option<Leadership>) -> Option<Leadership> {
+    fn enter_term(&self, current: Option<term::State>) -> Option<term::State> {
         let status = self.proposer.status();
         if !status.leads {
             return None;
         }
-        let held = held.filter(|leadership| leadership.term == status.term);
-        Some(held.unwrap_or_else(|| Leadership::new(status.term, self.clock.now())))
+        let current = current.filter(|term| term.number == status.term);
+        Some(current.unwrap_or_else(|| term::State::new(status.term, self.clock.now())))
     }
 
     /// Takes over plan, endpoints and demand.
-    fn follow(&self, leadership: &mut Leadership) {
+    fn update_planners(&self, term: &mut term::State) {
         let now = self.clock.now();
-        let (demand, used) = {
-            let mut held = self.demand.lock();
-            (held.rates(now), held.take_adapters())
+        let (demand, used_adapters) = {
+            let mut estimate = self.demand.lock();
+            (estimate.rates(now), estimate.take_used_adapters())
         };
         self.state.read(|fleet| {
-            leadership.follow_plan(now, fleet);
-            for book in leadership.books.values_mut() {
+            term.update_from_plan(now, fleet);
+            for planner in term.planners.values_mut() {
                 let endpoints = fleet.endpoints.announcements();
-                book.update_endpoints(now, endpoints, |name| fleet.residencies.get(name).cloned());
-                book.set_demand(now, demand.clone());
-                for adapter in &used {
-                    book.mark_adapter_used(now, adapter);
+                planner
+                    .update_endpoints(now, endpoints, |name| fleet.residencies.get(name).cloned());
+                planner.set_demand(now, demand.clone());
+                for adapter in &used_adapters {
+                    planner.mark_adapter_used(now, adapter);
                 }
             }
         });
     }
 
-    fn hear(&self, held: &mut Option<Leadership>, news: News) {
+    fn handle(&self, current: &mut Option<term::State>, event: Event) {
         let now = self.clock.now();
-        if let News::Dump(answer) = news {
+        if let Event::Dump(reply) = event {
             // Whoever asked may have gone.
-            drop(answer.send(shown(held.as_ref())));
+            drop(reply.send(dump_planners(current.as_ref())));
             return;
         }
-        let Some(leadership) = held else {
+        let Some(term) = current else {
             // Who waits is told by the end of its channel.
             return;
         };
-        let since = leadership.since;
-        match news {
-            News::Want(ticket, want, answer) => {
+        let start = term.start;
+        match event {
+            Event::AdapterRequested(ticket, want, reply) => {
                 if want.expires {
                     let (model, adapter) = (&want.model, &want.adapter);
                     spdlog::info!("residency: {} lacks {model}/{adapter}", want.endpoint);
                 }
-                leadership.want(now, ticket, &want, answer);
+                term.request_adapter(now, ticket, &want, reply);
             }
-            News::Reported(of, service, name, report) if of == since => {
-                leadership.with(&service, |book| book.handle_report(now, &name, &report));
+            Event::Reported(event_start, service, name, report) if event_start == start => {
+                term.with_planner(&service, |planner| {
+                    planner.handle_report(now, &name, &report);
+                });
             }
-            News::Answered(of, service, name, number, verdict) if of == since => {
-                leadership.with(&service, |book| {
-                    book.handle_verdict(now, &name, number, verdict);
+            Event::OrderAnswered(event_start, service, name, number, verdict)
+                if event_start == start =>
+            {
+                term.with_planner(&service, |planner| {
+                    planner.handle_verdict(now, &name, number, verdict);
                 });
             }
-            News::Unanswered(of, service, name, number) if of == since => {
-                leadership.with(&service, |book| book.handle_no_answer(now, &name, number));
+            Event::OrderUnanswered(event_start, service, name, number) if event_start == start => {
+                term.with_planner(&service, |planner| {
+                    planner.handle_no_answer(now, &name, number);
+                });
             }
-            News::Told(of, service, word) if of == since => {
-                leadership.with(&service, |book| book.confirm_residency(now, &word));
+            Event::ResidencyCommitted(event_start, service, residency) if event_start == start => {
+                term.with_planner(&service, |planner| {
+                    planner.confirm_residency(now, &residency);
+                });
             }
             // Of an earlier term.
             _ => {}
         }
     }
 
-    fn step(&self, held: &mut Option<Leadership>) {
-        let step = || self.step_books(held);
-        self.metrics.work(metric::Work::Placement, step);
+    fn advance(&self, current: &mut Option<term::State>) {
+        let tick = || self.tick_planners(current);
+        self.metrics.measure(metric::Work::Placement, tick);
     }
 
-    fn step_books(&self, held: &mut Option<Leadership>) {
-        let Some(leadership) = held else {
+    fn tick_planners(&self, current: &mut Option<term::State>) {
+        let Some(term) = current else {
             return;
         };
         if self.proposer.check_leads().is_err() {
@@ -307,74 +325,74 @@
         }
         let now = self.clock.now();
         let mut outputs = Vec::new();
-        for (service, book) in &mut leadership.books {
-            let due = book.tick(now);
-            for difference in book.take_differences() {
+        for (service, planner) in &mut term.planners {
+            let due_outputs = planner.tick(now);
+            for difference in planner.take_differences() {
                 spdlog::info!("residency: {difference}");
             }
-            outputs.extend(due.into_iter().map(|output| (service.clone(), output)));
+            outputs.extend(
+                due_outputs
+                    .into_iter()
+                    .map(|output| (service.clone(), output)),
+            );
         }
         for (service, output) in outputs {
-            self.carry_out(leadership, service, output);
+            self.execute(term, service, output);
         }
     }
 
-    fn carry_out(
-        &self,
-        leadership: &mut Leadership,
-        service: id::Service,
-        output: planner::Output,
-    ) {
+    fn execute(&self, term: &mut term::State, service: id::Service, output: planner::Output) {
         match output {
             planner::Output::ResolveAdapter(ticket, endpoint) => {
-                if let Some(answer) = leadership.waiting.remove(&ticket) {
+                if let Some(reply) = term.adapter_requests.remove(&ticket) {
                     // An entry that has gone needs no answer.
-                    drop(answer.send(endpoint));
+                    drop(reply.send(endpoint));
                 }
             }
-            planner::Output::FetchReport(name) => self.ask(leadership, service, name),
-            planner::Output::Send(order) => self.send(leadership, service, order),
-            planner::Output::PublishResidency(name) => self.tell(leadership, service, &name),
+            planner::Output::FetchReport(name) => self.fetch_report(term, service, name),
+            planner::Output::Send(order) => self.send_order(term, service, order),
+            planner::Output::PublishResidency(name) => self.publish_residency(term, service, &name),
         }
     }
 
-    fn ask(&self, leadership: &Leadership, service: id::Service, name: id::Endpoint) {
-        let runner = leadership
-            .books
+    fn fetch_report(&self, term: &term::State, service: id::Service, name: id::Endpoint) {
+        let runner = term
+            .planners
             .get(&service)
-            .and_then(|book| book.runner(&name));
+            .and_then(|planner| planner.runner(&name));
         let Some(address) = runner.map(|runner| runner.address) else {
             return;
         };
-        let (runners, news) = (Arc::clone(&self.runners), self.news.clone());
-        let since = leadership.since;
+        let (runner_client, events) = (Arc::clone(&self.runner_client), self.events.clone());
+        let start = term.start;
         tokio::spawn(async move {
-            match runners.fetch_report(address, &name).await {
+            match runner_client.fetch_report(address, &name).await {
                 Ok(report) => {
                     drop(
-                        news.send(News::Reported(since, service, name, report))
+                        events
+                            .send(Event::Reported(start, service, name, report))
                             .await,
                     );
                 }
                 // Asked again; silence is noticed by the runner's heartbeats.
-                Err(cause) => spdlog::info!("residency: {name} gives no report: {cause}"),
+                Err(cause) => spdlog::info!("residency: no report from {name}: {cause}"),
             }
         });
     }
 
-    fn send(&self, leadership: &Leadership, service: id::Service, order: order::Order) {
-        let book = leadership.books.get(&service);
-        let room = book.and_then(|book| book.usage(self.clock.now(), &order.endpoint));
-        let room = room.map_or_else(SmolStr::default, |room| format_smolstr!("{room}"));
+    fn send_order(&self, term: &term::State, service: id::Service, order: order::Order) {
+        let planner = term.planners.get(&service);
+        let usage = planner.and_then(|planner| planner.usage(self.clock.now(), &order.endpoint));
+        let usage = usage.map_or_else(SmolStr::default, |usage| format_smolstr!("{usage}"));
         spdlog::info!(
-            "residency: orders {} from {} as its number {}: {room}",
+            "residency: orders {} from {} as its number {}: {usage}",
             order.action,
             order.endpoint,
             order.expected_count
         );
-        let (runners, news) = (Arc::clone(&self.runners), self.news.clone());
-        let (holder, since) = (self.holder.clone(), leadership.since);
-        let fence = number::Fence(leadership.term.0);
+        let (runner_client, events) = (Arc::clone(&self.runner_client), self.events.clone());
+        let (leader, start) = (self.instance.clone(), term.start);
+        let fence = number::Fence(term.number.0);
         let proposer = self.proposer.clone();
         tokio::spawn(async move {
             // The process may have slept since the order was made out.
@@ -382,30 +400,33 @@
                 return;
             }
             let (name, number) = (order.endpoint.clone(), order.number);
-            let told = match runners.send_order(&holder, fence, &order).await {
+            let event = match runner_client.send_order(&leader, fence, &order).await {
                 Ok(verdict) => {
                     // An adapter whose drop is not done with its answer keeps its place.
-                    let drops = matches!(order.action, order::Action::UnloadAdapter(..));
-                    if verdict != order::Verdict::Accepted || drops {
+                    let unloads_adapter = matches!(order.action, order::Action::UnloadAdapter(..));
+                    if verdict != order::Verdict::Accepted || unloads_adapter {
                         spdlog::info!("residency: {name} answers {verdict:?} to {}", order.action);
                     }
-                    News::Answered(since, service, name, number, verdict)
+                    Event::OrderAnswered(start, service, name, number, verdict)
                 }
                 Err(cause) => {
-                    spdlog::warn!("residency: {} at {name}: {cause}", order.action);
-                    News::Unanswered(since, service, name, number)
+                    spdlog::warn!(
+                        "residency: no answer to {} from {name}: {cause}",
+                        order.action
+                    );
+                    Event::OrderUnanswered(start, service, name, number)
                 }
             };
-            drop(news.send(told).await);
+            drop(events.send(event).await);
         });
     }
 
     /// Tells all entries what a runner is about to drop and which adapters it has.
-    fn tell(&self, leadership: &Leadership, service: id::Service, name: &id::Endpoint) {
-        let runner = leadership
-            .books
+    fn publish_residency(&self, term: &term::State, service: id::Service, name: &id::Endpoint) {
+        let runner = term
+            .planners
             .get(&service)
-            .and_then(|book| book.runner(name));
+            .and_then(|planner| planner.runner(name));
         let Some(runner) = runner else {
             return;
         };
@@ -414,29 +435,34 @@
             let name = format_smolstr!("{model}/{adapter}");
             name.parse().ok()
         });
-        let told = view::Residency {
+        let residency = view::Residency {
             endpoint: name.clone(),
             boot: runner.boot,
             retiring: runner.outgoing_model().cloned().into_iter().collect(),
             adapters: adapters.collect(),
         };
-        let (proposer, news) = (self.proposer.clone(), self.news.clone());
-        let since = leadership.since;
+        let (proposer, events) = (self.proposer.clone(), self.events.clone());
+        let start = term.start;
         tokio::spawn(async move {
-            let command = command::Command::Residency(told.clone());
+            let command = command::Command::Residency(residency.clone());
             match proposer.propose(command).await {
-                Ok(_) => drop(news.send(News::Told(since, service, told)).await),
+                Ok(_) => drop(
+                    events
+                        .send(Event::ResidencyCommitted(start, service, residency))
+                        .await,
+                ),
                 // Without it nothing is dropped; the next change tells all anew.
-                Err(fault) => spdlog::info!("residency: could not tell: {}", fault.message),
+                Err(fault) => spdlog::info!(
+                    "residency: could not commit the residency of a runner: {}",
+                    fault.message
+                ),
             }
         });
     }
 }
 
-fn shown(held: Option<&Leadership>) -> serde_json::Value {
-    let books = held
-        .into_iter()
-        .flat_map(|leadership| leadership.books.values());
-    let books: Vec<serde_json::Value> = books.map(planner::Planner::dump).collect();
-    serde_json::json!(books)
+fn dump_planners(current: Option<&term::State>) -> serde_json::Value {
+    let planners = current.into_iter().flat_map(|term| term.planners.values());
+    let planners: Vec<serde_json::Value> = planners.map(planner::Planner::dump).collect();
+    serde_json::json!(planners)
 }
--- a/crates/cranberrygap-control/src/residency/demand.rs
+++ b/crates/cranberrygap-control/src/residency/demand.rs
@@ -9,36 +9,36 @@
 
 /// Half-life of the demand that asks for copies. Demand moves to other models
 /// within about six seconds; a slower estimate would see it when it has moved.
-const RISE: duration::Span = duration::Span::from_millis(1_500);
+const RISE_HALF_LIFE: duration::Span = duration::Span::from_millis(1_500);
 
 /// Half-life of the demand that keeps copies. A model that pauses for a few
 /// seconds keeps its copies; a load costs as much as a lost request.
-const FALL: duration::Span = duration::Span::from_secs(6);
+const FALL_HALF_LIFE: duration::Span = duration::Span::from_secs(6);
 
 /// Demand by model, and the adapters used of late.
 #[derive(Debug)]
-pub(super) struct Demand {
+pub(super) struct Estimate {
     rising: forecast::decayed::Decayed,
     falling: forecast::decayed::Decayed,
-    adapters: Vec<(id::Model, SmolStr)>,
+    used_adapters: Vec<(id::Model, SmolStr)>,
 }
 
-impl Demand {
+impl Estimate {
     /// None yet.
     pub(super) fn new() -> Self {
         Self {
-            rising: forecast::decayed::Decayed::new(RISE),
-            falling: forecast::decayed::Decayed::new(FALL),
-            adapters: Vec::new(),
+            rising: forecast::decayed::Decayed::new(RISE_HALF_LIFE),
+            falling: forecast::decayed::Decayed::new(FALL_HALF_LIFE),
+            used_adapters: Vec::new(),
         }
     }
 
     /// Counts demand that an entry reports.
-    pub(super) fn count(&mut self, now: duration::Instant, demands: &[view::Demand]) {
+    pub(super) fn record(&mut self, now: duration::Instant, demands: &[view::Demand]) {
         for demand in demands {
             if let Some((model, adapter)) = demand.model.as_str().split_once('/') {
                 if let Ok(model) = model.parse() {
-                    self.adapters.push((model, SmolStr::new(adapter)));
+                    self.used_adapters.push((model, SmolStr::new(adapter)));
                 }
                 continue;
             }
@@ -52,14 +52,14 @@
     pub(super) fn rates(&self, now: duration::Instant) -> BTreeMap<id::Model, f64> {
         let mut rates = forecast::Estimator::rates(&self.falling, now);
         for (model, rate) in forecast::Estimator::rates(&self.rising, now) {
-            let known = rates.entry(model).or_default();
-            *known = known.max(rate);
+            let combined = rates.entry(model).or_default();
+            *combined = combined.max(rate);
         }
         rates
     }
 
     /// Adapters used since the last look.
-    pub(super) fn take_adapters(&mut self) -> Vec<(id::Model, SmolStr)> {
-        std::mem::take(&mut self.adapters)
+    pub(super) fn take_used_adapters(&mut self) -> Vec<(id::Model, SmolStr)> {
+        std::mem::take(&mut self.used_adapters)
     }
 }
--- /dev/null
+++ b/crates/cranberrygap-control/src/residency/term.rs
@@ -0,0 +1,93 @@
+//! What one leader knows of the runners during its term.
+
+use std::collections::BTreeMap;
+
+use cranberrygap_model::{duration, id, number};
+use cranberrygap_placement::residency::{engine, planner};
+use cranberrygap_state::fleet;
+use cranberrygap_wire::traffic;
+use tokio::sync::oneshot;
+
+/// Time after taking leadership in which nothing is ordered. Runners that do not
+/// compare leaders would take orders of two; the one before may have sent its last
+/// order just before its lease ended, and orders take a moment on their way.
+const TAKEOVER_DELAY: duration::Span = duration::Span::from_millis(3_300);
+
+/// One leader's term.
+#[derive(Debug)]
+pub(super) struct State {
+    pub(super) number: number::Term,
+    pub(super) start: duration::Instant,
+    pub(super) planners: BTreeMap<id::Service, planner::Planner>,
+    plan_version: Option<u64>,
+    pub(super) adapter_requests: BTreeMap<u64, oneshot::Sender<Option<id::Endpoint>>>,
+}
+
+impl State {
+    /// A term that has begun at `now`.
+    pub(super) const fn new(number: number::Term, now: duration::Instant) -> Self {
+        Self {
+            number,
+            start: now,
+            planners: BTreeMap::new(),
+            plan_version: None,
+            adapter_requests: BTreeMap::new(),
+        }
+    }
+
+    /// Changes the book of a service, if there is one.
+    pub(super) fn with_planner(
+        &mut self,
+        service: &id::Service,
+        work: impl FnOnce(&mut planner::Planner),
+    ) {
+        if let Some(planner) = self.planners.get_mut(service) {
+            work(planner);
+        }
+    }
+
+    /// Notes that a request wants an adapter.
+    pub(super) fn request_adapter(
+        &mut self,
+        now: duration::Instant,
+        ticket: u64,
+        want: &traffic::Want,
+        reply: oneshot::Sender<Option<id::Endpoint>>,
+    ) {
+        let Some(planner) = self.planners.get_mut(&want.service) else {
+            return;
+        };
+        let adapter = (want.model.clone(), want.adapter.clone());
+        self.adapter_requests.insert(ticket, reply);
+        planner.request_adapter(now, ticket, &adapter, &want.endpoint, want.expires);
+    }
+
+    /// Takes over services and models, when the plan is a new one.
+    pub(super) fn update_from_plan(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
+        let version = fleet.traffic.version();
+        if version == self.plan_version {
+            return;
+        }
+        self.plan_version = version;
+        let services = fleet.traffic.plan().into_iter();
+        let services = services.flat_map(|plan| &plan.services);
+        let mut planned_services = Vec::new();
+        for service in services {
+            let Some(engine) = &service.engine else {
+                continue;
+            };
+            planned_services.push(service.service.clone());
+            let engine = engine::Engine::new(engine);
+            if let Some(planner) = self.planners.get_mut(&service.service) {
+                planner.set_engine(now, engine);
+                continue;
+            }
+            let delay = self.start.after(TAKEOVER_DELAY).since(now);
+            let name = service.service.clone();
+            let planner = planner::Planner::new(name.clone(), engine, now, delay);
+            self.planners.insert(name, planner);
+        }
+        self.planners
+            .retain(|name, _| planned_services.contains(name));
+    }
+}
--- a/crates/cranberrygap-control/src/shares/term.rs
+++ b/crates/cranberrygap-control/src/shares/term.rs
@@ -9,28 +9,28 @@
 
 /// Time after which entries that ask the leader for a workspace's tokens say that its lender
 /// does not answer them. Entries learn of a lender within some hundred milliseconds.
-const ANSWERS: duration::Span = duration::Span::from_secs(1);
+const LENDER_GRACE_PERIOD: duration::Span = duration::Span::from_secs(1);
 
 /// The granter of one term, and what it follows.
 #[derive(Debug)]
-pub(super) struct Term {
+pub(super) struct State {
     pub(super) number: number::Term,
     pub(super) granter: granter::Granter,
     limits: BTreeMap<id::Workspace, limits::Limit>,
     lenders: BTreeMap<id::Workspace, id::Instance>,
     /// Since when each lender was chosen, as far as this leader knows.
-    since: BTreeMap<id::Workspace, duration::Instant>,
+    lender_since: BTreeMap<id::Workspace, duration::Instant>,
     /// Revision of the state that this was read from.
-    read: Option<number::Revision>,
+    revision: Option<number::Revision>,
 }
 
-impl Term {
+impl State {
     /// Takes leadership with everything that the log knows.
     pub(super) fn new(now: duration::Instant, number: number::Term, fleet: &fleet::Fleet) -> Self {
-        let limits = limits_of(fleet);
+        let limits = workspace_limits(fleet);
         let logged: Vec<share::Allocation> = fleet.shares.iter().cloned().collect();
         spdlog::info!(
-            "limits: grants in term {number}, {} shares are logged",
+            "limits: grants in term {number} with {} shares from the log",
             logged.len()
         );
         Self {
@@ -38,35 +38,35 @@
             granter: granter::Granter::new(now, number, &limits, &logged),
             limits,
             lenders: BTreeMap::new(),
-            since: BTreeMap::new(),
-            read: None,
+            lender_since: BTreeMap::new(),
+            revision: None,
         }
     }
 
     /// Takes over limits and lenders that are in force now.
-    pub(super) fn follow(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
-        if self.read == Some(fleet.view_revision) {
+    pub(super) fn update_from_state(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
+        if self.revision == Some(fleet.view_revision) {
             return;
         }
-        self.read = Some(fleet.view_revision);
-        self.follow_limits(now, limits_of(fleet));
-        self.follow_lenders(now, fleet);
+        self.revision = Some(fleet.view_revision);
+        self.update_limits(now, workspace_limits(fleet));
+        self.update_lenders(now, fleet);
     }
 
-    fn follow_limits(
+    fn update_limits(
         &mut self,
         now: duration::Instant,
-        wanted: BTreeMap<id::Workspace, limits::Limit>,
+        limits: BTreeMap<id::Workspace, limits::Limit>,
     ) {
-        if wanted == self.limits {
+        if limits == self.limits {
             return;
         }
-        for (workspace, limit) in &wanted {
+        for (workspace, limit) in &limits {
             if self.limits.get(workspace) == Some(limit) {
                 continue;
             }
             spdlog::info!(
-                "limits: workspace {workspace} has {} tokens a second and {} at once",
+                "limits: workspace {workspace} has {} tokens per second and a burst of {}",
                 limit.rate,
                 limit.burst
             );
@@ -75,10 +75,10 @@
             self.granter
                 .configure(now, workspace, *limit, granter::Origin::Added);
         }
-        self.limits = wanted;
+        self.limits = limits;
     }
 
-    fn follow_lenders(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
+    fn update_lenders(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
         self.lenders
             .retain(|workspace, _| fleet.lenders.get(workspace).is_some());
         for (workspace, lender) in fleet.lenders.iter() {
@@ -96,7 +96,7 @@
             match lender {
                 Some(lender) => {
                     self.lenders.insert(workspace.clone(), lender.clone());
-                    self.since.insert(workspace.clone(), now);
+                    self.lender_since.insert(workspace.clone(), now);
                 }
                 None => drop(self.lenders.remove(workspace)),
             }
@@ -104,7 +104,7 @@
     }
 
     /// Closes shares that have ended, and chooses lenders where one is missing.
-    pub(super) fn look(
+    pub(super) fn expire_and_choose_lenders(
         &mut self,
         now: duration::Instant,
         fleet: &fleet::Fleet,
@@ -115,63 +115,78 @@
             }
         }
         let records = self.granter.expire(now);
-        let candidates = fleet.members.iter().filter_map(candidate).collect();
-        let is_lost = |workspace: &id::Workspace| self.has_lost_lender(now, workspace);
+        let candidates = fleet.members.iter().filter_map(lender_candidate).collect();
+        let needs_new_lender = |workspace: &id::Workspace| self.needs_new_lender(now, workspace);
         let limited = |limit: &limits::Limit| limit.rate.0 > 0.0 && limit.burst.0 > 0;
         let workspaces = self.limits.iter();
         let workspaces = workspaces.filter(|(_, limit)| limited(limit));
         let workspaces = workspaces.map(|(workspace, _)| workspace);
-        let changes = assignment::changes(workspaces, &self.lenders, &candidates, is_lost);
+        let changes = assignment::changes(workspaces, &self.lenders, &candidates, needs_new_lender);
         (records, changes)
     }
 
     /// Whether a lender had the time of a lease and has none, or does not answer those who
     /// ask it.
-    fn has_lost_lender(&self, now: duration::Instant, workspace: &id::Workspace) -> bool {
+    fn needs_new_lender(&self, now: duration::Instant, workspace: &id::Workspace) -> bool {
         let Some(lender) = self.lenders.get(workspace) else {
             return false;
         };
-        let since = self.since.get(workspace).copied().unwrap_or_default();
-        let held = now.since(since);
-        let idle = held > limits::LEASE_DURATION && !self.granter.is_lender(workspace, lender);
-        idle || (held > ANSWERS && self.granter.is_lender_unreachable(workspace))
+        let since = self
+            .lender_since
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
+        let time_as_lender = now.since(since);
+        let has_no_lease =
+            time_as_lender > limits::LEASE_DURATION && !self.granter.is_lender(workspace, lender);
+        has_no_lease
+            || (time_as_lender > LENDER_GRACE_PERIOD
+                && self.granter.is_lender_unreachable(workspace))
     }
 }
 
-fn candidate(member: &view::Member) -> Option<(id::Instance, bool)> {
-    let can = member.role == view::Role::Entry
+fn lender_candidate(member: &view::Member) -> Option<(id::Instance, bool)> {
+    let can_lend = member.role == view::Role::Entry
         && member.phase != view::Phase::Left
         && member.lending.is_some();
     let active = member.phase == view::Phase::Active;
-    can.then(|| (member.instance.clone(), active))
+    can_lend.then(|| (member.instance.clone(), active))
 }
 
 /// Rate and burst of every workspace by the configuration in force.
-fn limits_of(fleet: &fleet::Fleet) -> BTreeMap<id::Workspace, limits::Limit> {
-    let current = fleet.configuration.current();
+fn workspace_limits(fleet: &fleet::Fleet) -> BTreeMap<id::Workspace, limits::Limit> {
+    let configuration = fleet.configuration.current();
     let workspaces = fleet.keys.workspaces();
-    let issued = workspaces.map(|workspace| (workspace.clone(), limit_of(current, workspace)));
+    let issued = workspaces.map(|workspace| {
+        (
+            workspace.clone(),
+            configured_limit(configuration, workspace),
+        )
+    });
     let planned = fleet.traffic.plan().into_iter();
     let planned = planned.flat_map(|plan| &plan.workspaces);
-    let planned = planned.map(|found| {
+    let planned = planned.map(|workspace| {
         let limit = limits::Limit {
-            rate: found.rate,
-            burst: found.burst,
+            rate: workspace.rate,
+            burst: workspace.burst,
         };
-        (found.workspace.clone(), limit)
+        (workspace.workspace.clone(), limit)
     });
     issued.chain(planned).collect()
 }
 
-fn limit_of(current: &configuration::Configuration, workspace: &id::Workspace) -> limits::Limit {
+fn configured_limit(
+    configuration: &configuration::Configuration,
+    workspace: &id::Workspace,
+) -> limits::Limit {
     let target = configuration::Target::Workspace;
-    let mut exceptions = current.exceptions.iter();
+    let mut exceptions = configuration.exceptions.iter();
     let exception = exceptions
         .find(|exception| exception.target == target && exception.name == workspace.as_str());
     let rate = exception.and_then(|exception| exception.rate);
     let burst = exception.and_then(|exception| exception.burst);
     limits::Limit {
-        rate: rate.unwrap_or(current.defaults.rate),
-        burst: token::Count(burst.unwrap_or(current.defaults.burst)),
+        rate: rate.unwrap_or(configuration.defaults.rate),
+        burst: token::Count(burst.unwrap_or(configuration.defaults.burst)),
     }
 }
--- a/crates/cranberrygap-control/src/store.rs
+++ b/crates/cranberrygap-control/src/store.rs
@@ -6,10 +6,10 @@
 use cranberrygap_wire::endpoint;
 
 /// Longest time for one reading.
-const DEADLINE: Duration = Duration::from_secs(5);
+const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Largest list that is taken, in bytes; 4,096 models stay below it.
-const LARGEST_LIST: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// A weight store.
 #[derive(Debug, Clone)]
@@ -23,9 +23,9 @@
 pub(crate) enum Error {
     #[error("the store does not answer: {0}")]
     Http(#[from] reqwest::Error),
-    #[error("the store's list is not in the expected form: {0}")]
-    Form(#[from] serde_json::Error),
-    #[error("the store's list has more than {LARGEST_LIST} bytes")]
+    #[error("the store's list is malformed: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error("the store's list has more than {MAX_LIST_BYTES} bytes")]
     TooLarge,
 }
 
@@ -34,7 +34,7 @@
         // A fresh connection each time: a pooled one may be silently dead, and
         // the list is read once a second only.
         let http = reqwest::Client::builder()
-            .timeout(DEADLINE)
+            .timeout(LIST_TIMEOUT)
             .pool_max_idle_per_host(0)
             .no_proxy()
             .build()?;
@@ -42,13 +42,13 @@
         Ok(Self { http, url })
     }
 
-    pub(crate) async fn list(&self) -> Result<Vec<endpoint::Weights>, Error> {
-        let answer = self.http.get(&self.url).send().await?;
-        let mut answer = answer.error_for_status()?;
+    pub(crate) async fn list_models(&self) -> Result<Vec<endpoint::Weights>, Error> {
+        let response = self.http.get(&self.url).send().await?;
+        let mut response = response.error_for_status()?;
         let mut body = Vec::new();
-        while let Some(part) = answer.chunk().await? {
-            body.extend_from_slice(&part);
-            if body.len() > LARGEST_LIST {
+        while let Some(chunk) = response.chunk().await? {
+            body.extend_from_slice(&chunk);
+            if body.len() > MAX_LIST_BYTES {
                 return Err(Error::TooLarge);
             }
         }
--- a/crates/cranberrygap-control/src/subscription.rs
+++ b/crates/cranberrygap-control/src/subscription.rs
@@ -14,51 +14,51 @@
 use tokio::time;
 
 use crate::delta;
-use crate::followers;
 use crate::metric;
 use crate::peers;
 use crate::proposer;
+use crate::redirect;
 use crate::replicated;
 
 /// Time between heartbeats when nothing changes.
-const HEARTBEAT: duration::Span = duration::Span::from_millis(250);
+const HEARTBEAT_INTERVAL: duration::Span = duration::Span::from_millis(250);
 
 /// Time that a subscriber waits for this process to catch up with what the
 /// subscriber has already seen elsewhere. Below the time that a subscriber waits for a
 /// first frame; it asks another process after that.
-const CATCH_UP: Duration = Duration::from_millis(400);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time between looks while catching up.
-const LOOK: Duration = Duration::from_millis(20);
+const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time without a known leader after which this process serves no view. It is
 /// longer than an ordinary election.
-const LEADERLESS: Duration = Duration::from_secs(2);
+const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-struct Feed {
+struct Subscription {
     state: Arc<replicated::State>,
     proposer: proposer::Proposer,
-    news: broadcast::Receiver<replicated::News>,
+    updates: broadcast::Receiver<replicated::Update>,
     clock: clock::Clock,
-    gather: delta::Buffer,
-    next: Option<view::Frame>,
+    buffer: delta::Buffer,
+    next_snapshot: Option<view::Frame>,
     revision: number::Revision,
-    led: time::Instant,
+    leader_known_at: time::Instant,
     /// Since when this process leads.
-    leads: Option<time::Instant>,
+    leading_since: Option<time::Instant>,
     /// Whether the follower has found no other process.
-    stays: bool,
+    served_by_leader: bool,
     metrics: metric::Recorder,
 }
 
 /// Time after which a new leader sends its followers elsewhere; a change of the leader is
 /// not the moment to look for another source.
-const SETTLED: Duration = Duration::from_secs(3);
+const REDIRECT_DELAY: Duration = Duration::from_secs(3);
 
 /// What goes out next.
 #[derive(Serialize)]
 #[serde(untagged)]
-enum Sent {
+enum Outgoing {
     /// Changes that are written already.
     Delta(delta::Delta),
     /// Anything else.
@@ -72,108 +72,115 @@
 /// A fault when this process lags behind what the entry has seen: an entry that
 /// changed over from a process that is ahead would otherwise go back in time.
 pub(crate) async fn open(
-    desk: &peers::Desk,
+    context: &peers::Context,
     wanted: &view::Subscribe,
 ) -> Result<BoxStream<'static, Box<RawValue>>, server::Fault> {
-    let (state, proposer) = (&desk.state, &desk.proposer);
-    let deadline = time::Instant::now() + CATCH_UP;
-    while state.seen() < wanted.revision || proposer.status().leader.is_none() {
+    let (state, proposer) = (&context.state, &context.proposer);
+    let deadline = time::Instant::now() + CATCH_UP_TIMEOUT;
+    while state.view_revision() < wanted.revision || proposer.status().leader.is_none() {
         if time::Instant::now() >= deadline {
-            let sentence = "this control process is behind; ask another one";
-            return Err(server::Fault::new(method::NO_QUORUM, sentence));
+            let message = "this control process is behind; ask another one";
+            return Err(server::Fault::new(method::NO_QUORUM, message));
         }
-        time::sleep(LOOK).await;
+        time::sleep(CATCH_UP_CHECK_INTERVAL).await;
     }
-    let others = state.other_controls();
+    let other_controls = state.other_controls();
     let leads = proposer.status().leads;
     if leads {
-        let now = desk.detector.now();
-        let mut followers = desk.followers.lock();
-        if !followers.may_follow(now, &wanted.instance, others) {
-            let sentence = "this control process leads; ask another one first";
-            return Err(server::Fault::new(method::NO_QUORUM, sentence));
+        let now = context.detector.now();
+        let mut redirects = context.redirects.lock();
+        if !redirects.should_serve(now, &wanted.instance, other_controls) {
+            let message = "this control process leads; ask another one first";
+            return Err(server::Fault::new(method::NO_QUORUM, message));
         }
     }
-    spdlog::info!("view: {} follows from here", wanted.instance);
-    let (snapshot, news) = state.subscribe();
-    let feed = Feed {
+    spdlog::info!("view: {} subscribes", wanted.instance);
+    let (snapshot, update) = state.subscribe();
+    let subscription = Subscription {
         state: Arc::clone(state),
         proposer: proposer.clone(),
-        news,
+        updates: update,
         clock: clock::Clock::start(),
-        gather: delta::Buffer::default(),
-        next: Some(snapshot),
+        buffer: delta::Buffer::default(),
+        next_snapshot: Some(snapshot),
         revision: number::Revision(0),
-        led: time::Instant::now(),
-        leads: None,
-        stays: leads && followers::are_enough(others),
-        metrics: desk.metrics.clone(),
+        leader_known_at: time::Instant::now(),
+        leading_since: None,
+        served_by_leader: leads && redirect::is_allowed(other_controls),
+        metrics: context.metrics.clone(),
     };
-    Ok(stream::unfold(feed, Feed::step).boxed())
+    Ok(stream::unfold(subscription, Subscription::next_item).boxed())
 }
 
-impl Feed {
-    async fn step(mut self) -> Option<(Box<RawValue>, Self)> {
+impl Subscription {
+    async fn next_item(mut self) -> Option<(Box<RawValue>, Self)> {
         let frame = self.next_frame().await?;
         let status = self.proposer.status();
         // A process that was cut off from the group goes on with an old view and
         // healthy connections. Ending the stream makes its entries look elsewhere.
         if status.leader.is_some() {
-            self.led = time::Instant::now();
-        } else if self.led.elapsed() > LEADERLESS {
+            self.leader_known_at = time::Instant::now();
+        } else if self.leader_known_at.elapsed() > LEADERLESS_TIMEOUT {
             return None;
         }
-        self.leads = status
+        self.leading_since = status
             .leads
-            .then(|| self.leads.unwrap_or_else(time::Instant::now));
-        if self.goes_elsewhere() {
+            .then(|| self.leading_since.unwrap_or_else(time::Instant::now));
+        if self.should_redirect() {
             return None;
         }
-        Some(self.give(&frame))
+        Some(self.encode(&frame))
     }
 
     /// Whether this process leads for a while and others can serve the follower.
-    fn goes_elsewhere(&self) -> bool {
-        let settled = self.leads.is_some_and(|since| since.elapsed() > SETTLED);
-        settled && !self.stays && followers::are_enough(self.state.other_controls())
+    fn should_redirect(&self) -> bool {
+        let has_led_long = self
+            .leading_since
+            .is_some_and(|since| since.elapsed() > REDIRECT_DELAY);
+        has_led_long && !self.served_by_leader && redirect::is_allowed(self.state.other_controls())
     }
 
     /// The next frame, once it is due.
-    async fn next_frame(&mut self) -> Option<Sent> {
-        let beat = self.clock.now().after(HEARTBEAT);
+    async fn next_frame(&mut self) -> Option<Outgoing> {
+        let next_heartbeat = self.clock.now().after(HEARTBEAT_INTERVAL);
         loop {
             let now = self.clock.now();
-            if let Some(snapshot) = self.next.take() {
-                self.gather.reset(now);
-                return Some(Sent::Whole(Box::new(snapshot)));
+            if let Some(snapshot) = self.next_snapshot.take() {
+                self.buffer.reset(now);
+                return Some(Outgoing::Whole(Box::new(snapshot)));
             }
-            let due = self.gather.next_due(self.state.followers());
-            let until = due.map_or(beat, |due| due.min(beat)).since(now);
-            let Ok(news) = time::timeout(until.to_std(), self.news.recv()).await else {
+            let due = self.buffer.next_due(self.state.subscribers());
+            let until = due
+                .map_or(next_heartbeat, |due| due.min(next_heartbeat))
+                .since(now);
+            let Ok(update) = time::timeout(until.to_std(), self.updates.recv()).await else {
                 let heartbeat = view::Frame::Heartbeat {
                     revision: self.revision,
                 };
-                let delta = self.gather.take_delta(self.clock.now()).map(Sent::Delta);
-                return Some(delta.unwrap_or(Sent::Whole(Box::new(heartbeat))));
+                let delta = self
+                    .buffer
+                    .take_delta(self.clock.now())
+                    .map(Outgoing::Delta);
+                return Some(delta.unwrap_or(Outgoing::Whole(Box::new(heartbeat))));
             };
-            match news {
-                Ok(replicated::News::Changed(revision, changes)) => {
-                    self.gather.push(revision, &changes);
+            match update {
+                Ok(replicated::Update::Changed(revision, changes)) => {
+                    self.buffer.push(revision, &changes);
                 }
-                Ok(replicated::News::Replaced) | Err(broadcast::error::RecvError::Lagged(_)) => {
-                    let (snapshot, news) = self.state.subscribe();
-                    self.news = news;
-                    self.next = Some(snapshot);
+                Ok(replicated::Update::Replaced) | Err(broadcast::error::RecvError::Lagged(_)) => {
+                    let (snapshot, update) = self.state.subscribe();
+                    self.updates = update;
+                    self.next_snapshot = Some(snapshot);
                 }
                 Err(broadcast::error::RecvError::Closed) => return None,
             }
         }
     }
 
-    fn give(mut self, frame: &Sent) -> (Box<RawValue>, Self) {
+    fn encode(mut self, frame: &Outgoing) -> (Box<RawValue>, Self) {
         let (revision, kind) = match frame {
-            Sent::Delta(delta) => (delta.revision, "delta"),
-            Sent::Whole(frame) => match **frame {
+            Outgoing::Delta(delta) => (delta.revision, "delta"),
+            Outgoing::Whole(frame) => match **frame {
                 view::Frame::Snapshot { revision, .. } => (revision, "snapshot"),
                 view::Frame::Delta { revision, .. } => (revision, "delta"),
                 view::Frame::Heartbeat { revision } => (revision, "heartbeat"),
@@ -181,7 +188,7 @@
         };
         self.revision = revision;
         let encode = || serde_json::value::to_raw_value(frame);
-        let encoded = self.metrics.work(metric::Work::Frame, encode);
+        let encoded = self.metrics.measure(metric::Work::Frame, encode);
         let encoded = encoded.expect("frames have text keys only");
         self.metrics.count(metric::FRAMES, kind, 1);
         self.metrics
--- a/crates/cranberrygap-control/src/quiet.rs
+++ b/crates/cranberrygap-control/src/throttle.rs
@@ -6,25 +6,25 @@
 
 /// Lets one line pass in a while.
 #[derive(Debug)]
-pub(crate) struct Quiet {
-    gap: Duration,
+pub(crate) struct Throttle {
+    interval: Duration,
     last: Mutex<Option<Instant>>,
 }
 
-impl Quiet {
+impl Throttle {
     /// Lets one line pass in `gap`.
-    pub(crate) const fn new(gap: Duration) -> Self {
+    pub(crate) const fn new(interval: Duration) -> Self {
         let last = Mutex::new(None);
-        Self { gap, last }
+        Self { interval, last }
     }
 
     /// Whether a line may pass now; it counts as written then.
-    pub(crate) fn may_speak(&self) -> bool {
+    pub(crate) fn allow(&self) -> bool {
         let mut last = self.last.lock();
-        let speaks = last.is_none_or(|last| last.elapsed() >= self.gap);
-        if speaks {
+        let allowed = last.is_none_or(|last| last.elapsed() >= self.interval);
+        if allowed {
             *last = Some(Instant::now());
         }
-        speaks
+        allowed
     }
 }
--- a/crates/cranberrygap-control/tests/confirmation.rs
+++ b/crates/cranberrygap-control/tests/confirmation.rs
@@ -16,10 +16,10 @@
 use futures_util::future::{self, BoxFuture};
 
 /// Time from the start of the term to the confirmation.
-const BEFORE: Duration = Duration::from_millis(50);
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(50);
 
 /// Time for which the commits are waited for.
-const WAIT: Duration = Duration::from_millis(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A log of a leader whose disk hangs.
 #[derive(Debug)]
@@ -45,13 +45,13 @@
 struct Leader {
     state: Arc<replicated::State>,
     detector: Arc<detector::Detector>,
-    confirmations: confirmation::Confirmations,
+    confirmations: confirmation::Handler,
     start: duration::Instant,
 }
 
 impl Leader {
     fn new() -> Self {
-        let state = Arc::new(known());
+        let state = Arc::new(state_with_one_of_each());
         let proposer = proposer::Proposer::new(Arc::new(HungLog));
         let metrics = metric::Recorder::none();
         let detector = detector::Detector::new(
@@ -61,13 +61,13 @@
             metrics.clone(),
         );
         let detector = Arc::new(detector);
-        let confirmations = confirmation::Confirmations::new(
+        let confirmations = confirmation::Handler::new(
             Arc::clone(&state),
             proposer,
             Arc::clone(&detector),
             metrics,
         );
-        let start = detector.with_office(|now, _leadership| now).unwrap();
+        let start = detector.with_leadership(|now, _leadership| now).unwrap();
         Self {
             state,
             detector,
@@ -77,20 +77,23 @@
     }
 
     /// Whether a confirmation that comes later in the term is answered.
-    async fn answers(&self, confirm: &view::Confirm) -> bool {
-        tokio::time::sleep(BEFORE).await;
-        let taken = self.confirmations.take(confirm);
-        tokio::time::timeout(WAIT, taken).await.is_ok()
+    async fn is_answered(&self, confirm: &view::Confirm) -> bool {
+        tokio::time::sleep(CONFIRMATION_DELAY).await;
+        let taken = self.confirmations.handle(confirm);
+        tokio::time::timeout(ANSWER_TIMEOUT, taken).await.is_ok()
     }
 
     /// What is found when `silence` has passed since the start of the term, and a little.
-    fn findings(&self, silence: duration::Span) -> leadership::Findings {
+    fn transitions_after(&self, silence: duration::Span) -> leadership::Transitions {
         let at = self.start.after(silence);
         let at = at.after(duration::Span::from_millis(1));
-        let look = |leadership: &mut leadership::Leadership| {
-            self.state.read(|fleet| leadership.findings(at, fleet))
+        let check = |leadership: &mut leadership::Leadership| {
+            self.state
+                .read(|fleet| leadership.check_liveness(at, fleet))
         };
-        self.detector.with_office(|_now, held| look(held)).unwrap()
+        self.detector
+            .with_leadership(|_now, leadership| check(leadership))
+            .unwrap()
     }
 
     fn endpoint_silence(&self) -> duration::Span {
@@ -98,7 +101,7 @@
     }
 }
 
-fn known() -> replicated::State {
+fn state_with_one_of_each() -> replicated::State {
     let confirm = fleet::confirm(number::Revision(0));
     let member = view::Member {
         instance: confirm.instance,
@@ -134,9 +137,9 @@
 }
 
 /// A confirmation with news, which have to be committed.
-fn confirm(news: endpoint::Announcement) -> view::Confirm {
+fn confirm(announcement: endpoint::Announcement) -> view::Confirm {
     view::Confirm {
-        announcements: vec![news],
+        announcements: vec![announcement],
         ..fleet::confirm(number::Revision(0))
     }
 }
@@ -144,7 +147,7 @@
 // The leader's disk hangs for seconds while new endpoints come: all healthy ones whose
 // heartbeats come with the news would get no requests.
 #[tokio::test]
-async fn heartbeat_is_heard_while_commits_wait() {
+async fn heartbeat_is_recorded_while_commits_wait() {
     let leader = Leader::new();
     let heartbeat = view::Seen {
         endpoint: "runner-1".parse().unwrap(),
@@ -156,54 +159,64 @@
         ..confirm(announcement("runner-2", 1))
     };
 
-    let answered = leader.answers(&confirm).await;
+    let is_answered = leader.is_answered(&confirm).await;
 
-    let found = leader.findings(leader.endpoint_silence()).endpoints;
-    assert!(!answered, "the log takes nothing");
-    assert_eq!(found, []);
+    let transitions = leader
+        .transitions_after(leader.endpoint_silence())
+        .endpoints;
+    assert!(!is_answered, "the log commits nothing");
+    assert_eq!(transitions, []);
 }
 
 // The same of an endpoint that has news itself.
 #[tokio::test]
-async fn announcement_is_heard_while_its_commit_waits() {
+async fn announcement_is_recorded_while_its_commit_waits() {
     let leader = Leader::new();
 
-    let answered = leader.answers(&confirm(announcement("runner-1", 2))).await;
+    let is_answered = leader
+        .is_answered(&confirm(announcement("runner-1", 2)))
+        .await;
 
-    let found = leader.findings(leader.endpoint_silence()).endpoints;
-    assert!(!answered, "the log takes nothing");
-    assert_eq!(found, []);
+    let transitions = leader
+        .transitions_after(leader.endpoint_silence())
+        .endpoints;
+    assert!(!is_answered, "the log commits nothing");
+    assert_eq!(transitions, []);
 }
 
 // The same of the entry that passes them on: it would leave the address list, and its running
 // bookings would be taken for lost.
 #[tokio::test]
-async fn entry_is_heard_while_its_commits_wait() {
+async fn entry_is_recorded_while_its_commits_wait() {
     let leader = Leader::new();
 
-    let answered = leader.answers(&confirm(announcement("runner-2", 1))).await;
+    let is_answered = leader
+        .is_answered(&confirm(announcement("runner-2", 1)))
+        .await;
 
-    let found = leader.findings(leadership::ABSENCE).members;
-    assert!(!answered, "the log takes nothing");
-    assert_eq!(found, []);
+    let transitions = leader.transitions_after(leadership::ENTRY_TIMEOUT).members;
+    assert!(!is_answered, "the log commits nothing");
+    assert_eq!(transitions, []);
 }
 
 // Hearing is all: a lease that is given before the entry's boot is in the log would be
 // unknown to the next leader.
 #[tokio::test]
-async fn no_lease_is_given_while_commits_wait() {
+async fn no_lease_is_granted_while_commits_wait() {
     let leader = Leader::new();
 
-    let answered = leader.answers(&confirm(announcement("runner-2", 1))).await;
+    let is_answered = leader
+        .is_answered(&confirm(announcement("runner-2", 1)))
+        .await;
 
-    let inherited = leadership::LEASE.0 + leadership::DRIFT.0;
+    let inherited = leadership::LEASE.0 + leadership::CLOCK_DRIFT.0;
     let end = leader.start.after(duration::Span(inherited));
-    let waiting = leader.detector.with_office(|_now, leadership| {
+    let waiting = leader.detector.with_leadership(|_now, leadership| {
         let revision = number::Revision(u64::MAX);
         leader
             .state
-            .read(|fleet| leadership.waiting(end, revision, fleet))
+            .read(|fleet| leadership.entries_behind(end, revision, fleet))
     });
-    assert!(!answered, "the log takes nothing");
+    assert!(!is_answered, "the log commits nothing");
     assert_eq!(waiting, Some(Vec::new()));
 }
--- a/crates/cranberrygap-control/tests/fleet/mod.rs
+++ b/crates/cranberrygap-control/tests/fleet/mod.rs
@@ -16,10 +16,10 @@
 use serde::de::DeserializeOwned;
 
 /// Far beyond what anything here takes, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
-const CALL: duration::Span = duration::Span::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: duration::Span = duration::Span::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub fn fleet_secret() -> credential::Secret {
     credential::Secret::new(b"fleet-0123456789abcdef").unwrap()
@@ -69,7 +69,7 @@
             fleet: vec![fleet_secret()],
             operators: vec![operator_secret()],
         };
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             let settings = self.settings[position].clone();
             match process::Process::start(settings, secrets.clone()).await {
@@ -81,7 +81,7 @@
                 // folder, or the port is not free yet.
                 Err(cause) => assert!(tokio::time::Instant::now() < deadline, "{cause}"),
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -101,7 +101,7 @@
     pub async fn leader(&self) -> usize {
         until(|| {
             let mut running = self.running.iter();
-            running.position(|found| found.as_ref().is_some_and(process::Process::leads))
+            running.position(|process| process.as_ref().is_some_and(process::Process::leads))
         })
         .await
     }
@@ -111,47 +111,47 @@
     }
 
     /// Asks as an operator, wherever the leader is, until there is an answer.
-    pub async fn ask<P: Serialize + Sync, R: DeserializeOwned>(
+    pub async fn call_as_operator<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
     ) -> Result<R, Error> {
-        self.ask_leader(method, params, credential::Role::Operator)
+        self.call_leader(method, params, credential::Role::Operator)
             .await
     }
 
     /// Asks as an entry.
-    pub async fn tell<P: Serialize + Sync, R: DeserializeOwned>(
+    pub async fn call_as_entry<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
     ) -> Result<R, Error> {
-        self.ask_leader(method, params, credential::Role::Fleet)
+        self.call_leader(method, params, credential::Role::Fleet)
             .await
     }
 
-    async fn ask_leader<P: Serialize + Sync, R: DeserializeOwned>(
+    async fn call_leader<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
         role: credential::Role,
     ) -> Result<R, Error> {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             let position = self.leader().await;
             let outcome = match self.client(position, role).await {
-                Ok(client) => client.call(method, params, CALL).await,
+                Ok(client) => client.call(method, params, CALL_TIMEOUT).await,
                 Err(cause) => Err(cause),
             };
-            let elsewhere = match &outcome {
+            let is_not_leader = match &outcome {
                 Err(Error::Refused { code, .. }) => *code == method::NOT_LEADER,
                 Err(cause) => cause.not_sent(),
                 Ok(_) => false,
             };
-            if !elsewhere || tokio::time::Instant::now() > deadline {
+            if !is_not_leader || tokio::time::Instant::now() > deadline {
                 return outcome;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -178,7 +178,9 @@
             key: secret.key().clone(),
             hash: secret.hash(),
         };
-        self.ask(method::KEY_ISSUE, &issue).await.unwrap()
+        self.call_as_operator(method::KEY_ISSUE, &issue)
+            .await
+            .unwrap()
     }
 
     pub async fn withdraw(&self, change: &str, secret: &key::Secret) -> operator::Withdrawn {
@@ -186,7 +188,9 @@
             author: author(change),
             key: secret.key().clone(),
         };
-        self.ask(method::KEY_WITHDRAW, &withdraw).await.unwrap()
+        self.call_as_operator(method::KEY_WITHDRAW, &withdraw)
+            .await
+            .unwrap()
     }
 }
 
@@ -220,14 +224,14 @@
 }
 
 /// Polls until there is something.
-pub async fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
+pub async fn until<T>(mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look() {
-            return found;
+        if let Some(process) = poll() {
+            return process;
         }
         assert!(tokio::time::Instant::now() < deadline, "waited in vain");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -255,6 +259,6 @@
         .collect();
     let ports = listeners
         .iter()
-        .map(|found| found.local_addr().unwrap().port());
+        .map(|process| process.local_addr().unwrap().port());
     ports.collect()
 }
--- a/crates/cranberrygap-control/tests/followers.rs
+++ b/crates/cranberrygap-control/tests/followers.rs
@@ -1,7 +1,7 @@
 //! The leader leaves views to other control processes while there are some.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
-use cranberrygap_control::followers;
+use cranberrygap_control::redirect;
 use cranberrygap_model::{duration, id};
 
 fn at(millis: u64) -> duration::Instant {
@@ -14,24 +14,24 @@
 
 // Frames of many entries take the processor that leases and shares need.
 #[test]
-fn leader_sends_followers_to_the_others_first() {
-    let mut followers = followers::Followers::default();
+fn leader_redirects_new_subscribers() {
+    let mut redirects = redirect::Redirects::default();
 
-    assert!(!followers.may_follow(at(0), &entry(), 4));
+    assert!(!redirects.should_serve(at(0), &entry(), 4));
 }
 
 // The others may be lost, and an entry without a view serves nobody.
 #[test]
-fn follower_that_comes_back_is_served_by_the_leader() {
-    let mut followers = followers::Followers::default();
-    followers.may_follow(at(0), &entry(), 4);
+fn subscriber_that_comes_back_is_served_by_the_leader() {
+    let mut redirects = redirect::Redirects::default();
+    redirects.should_serve(at(0), &entry(), 4);
 
-    assert!(followers.may_follow(at(1_500), &entry(), 4));
+    assert!(redirects.should_serve(at(1_500), &entry(), 4));
 }
 
 #[test]
 fn leader_of_a_small_group_serves_views() {
-    let mut followers = followers::Followers::default();
+    let mut redirects = redirect::Redirects::default();
 
-    assert!(followers.may_follow(at(0), &entry(), 1));
+    assert!(redirects.should_serve(at(0), &entry(), 1));
 }
--- a/crates/cranberrygap-control/tests/gather.rs
+++ b/crates/cranberrygap-control/tests/gather.rs
@@ -15,12 +15,12 @@
     number::Revision(number)
 }
 
-fn written(change: view::Change) -> Arc<encoded::Change> {
+fn encoded_change(change: view::Change) -> Arc<encoded::Change> {
     Arc::new(encoded::Change::new(change))
 }
 
 fn resided(endpoint: &str, adapter: &str) -> Arc<encoded::Change> {
-    written(view::Change::Resided {
+    encoded_change(view::Change::Resided {
         residency: view::Residency {
             endpoint: endpoint.parse().unwrap(),
             boot: number::Boot(1),
@@ -32,48 +32,48 @@
 
 fn removed(endpoint: &str) -> Arc<encoded::Change> {
     let endpoint = endpoint.parse().unwrap();
-    written(view::Change::EndpointRemoved { endpoint })
+    encoded_change(view::Change::EndpointRemoved { endpoint })
 }
 
 // A frame for each change to each follower takes the processor from leases.
 #[test]
-fn frames_a_second_do_not_grow_with_followers() {
-    for followers in [8, 65, 390] {
-        let mut gather = delta::Buffer::default();
+fn frame_rate_does_not_grow_with_subscribers() {
+    for subscribers in [8, 65, 390] {
+        let mut buffer = delta::Buffer::default();
         let mut frames = 0;
         for millis in 0..1_000 {
-            gather.push(revision(millis), &[resided("runner-1", "m/a1")]);
-            let due = gather.next_due(followers);
-            if due.is_some_and(|due| due <= at(millis)) && gather.take_delta(at(millis)).is_some() {
+            buffer.push(revision(millis), &[resided("runner-1", "m/a1")]);
+            let due = buffer.next_due(subscribers);
+            if due.is_some_and(|due| due <= at(millis)) && buffer.take_delta(at(millis)).is_some() {
                 frames += 1;
             }
         }
 
-        assert!(frames * followers <= 1_000 + followers, "{followers}");
+        assert!(frames * subscribers <= 1_000 + subscribers, "{subscribers}");
     }
 }
 
 #[test]
-fn first_change_after_a_while_goes_out_at_once() {
-    let mut gather = delta::Buffer::default();
-    gather.push(revision(1), &[resided("runner-1", "m/a1")]);
-    gather.take_delta(at(0));
-    gather.push(revision(2), &[resided("runner-1", "m/a2")]);
+fn change_after_a_frame_is_due_within_100_milliseconds() {
+    let mut buffer = delta::Buffer::default();
+    buffer.push(revision(1), &[resided("runner-1", "m/a1")]);
+    buffer.take_delta(at(0));
+    buffer.push(revision(2), &[resided("runner-1", "m/a2")]);
 
-    assert!(gather.next_due(65) <= Some(at(100)));
+    assert!(buffer.next_due(65) <= Some(at(100)));
 }
 
 // Entries must end where the log ended, with each removal on the way.
 #[test]
-fn replaced_changes_are_left_out_and_removals_stay() {
-    let mut gather = delta::Buffer::default();
-    gather.push(
+fn obsolete_changes_are_dropped_and_removals_kept() {
+    let mut buffer = delta::Buffer::default();
+    buffer.push(
         revision(1),
         &[resided("runner-1", "m/a1"), removed("runner-2")],
     );
-    gather.push(revision(2), &[resided("runner-1", "m/a2")]);
+    buffer.push(revision(2), &[resided("runner-1", "m/a2")]);
 
-    let frame = gather.take_delta(at(0)).unwrap();
+    let frame = buffer.take_delta(at(0)).unwrap();
 
     let expected = view::Frame::Delta {
         revision: revision(2),
@@ -89,5 +89,5 @@
         serde_json::from_str::<view::Frame>(&text).unwrap(),
         expected
     );
-    assert!(gather.take_delta(at(0)).is_none());
+    assert!(buffer.take_delta(at(0)).is_none());
 }
--- a/crates/cranberrygap-control/tests/leadership.rs
+++ b/crates/cranberrygap-control/tests/leadership.rs
@@ -18,12 +18,12 @@
     number::Revision(number)
 }
 
-fn new_office() -> leadership::Leadership {
+fn new_leadership() -> leadership::Leadership {
     leadership::Leadership::new(number::Term(1), START, revision(5))
 }
 
 /// A fleet of one entry and one runner.
-fn known() -> state::Fleet {
+fn fleet_with_one_of_each() -> state::Fleet {
     let mut fleet = state::Fleet::default();
     let confirm = fleet::confirm(revision(0));
     let member = view::Member {
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn entry_that_is_current_gets_a_lease() {
-    let mut leadership = new_office();
+fn entry_with_a_current_view_gets_a_lease() {
+    let mut leadership = new_leadership();
 
     let lease = leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
@@ -73,8 +73,8 @@
 // An entry follows a control process that was cut off, yet still reaches the
 // leader. With leases it would go on accepting a key that was withdrawn.
 #[test]
-fn entry_whose_view_stands_still_gets_no_lease() {
-    let mut leadership = new_office();
+fn entry_with_a_stale_view_gets_no_lease() {
+    let mut leadership = new_leadership();
     leadership.record_revision(at(10), revision(6));
 
     let within = leadership.grant_lease(at(100), &fleet::confirm(revision(5)));
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn revision_waits_for_an_entry_until_its_lease_ran_out() {
-    let mut leadership = new_office();
-    let fleet = known();
+fn revision_waits_for_an_entry_until_its_lease_ends() {
+    let mut leadership = new_leadership();
+    let fleet = fleet_with_one_of_each();
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
-    let during = leadership.waiting(at(2_449), revision(6), &fleet);
-    let after = leadership.waiting(at(2_450), revision(6), &fleet);
+    let during = leadership.entries_behind(at(2_449), revision(6), &fleet);
+    let after = leadership.entries_behind(at(2_450), revision(6), &fleet);
 
     assert_eq!(during.len(), 1);
     assert!(after.is_empty());
@@ -102,11 +102,11 @@
 // that entry, of which it has not heard, still serves.
 #[test]
 fn new_leader_waits_for_leases_of_its_predecessor() {
-    let leadership = new_office();
-    let fleet = known();
+    let leadership = new_leadership();
+    let fleet = fleet_with_one_of_each();
 
-    let early = leadership.waiting(at(2_449), revision(5), &fleet);
-    let late = leadership.waiting(at(2_450), revision(5), &fleet);
+    let early = leadership.entries_behind(at(2_449), revision(5), &fleet);
+    let late = leadership.entries_behind(at(2_450), revision(5), &fleet);
 
     assert_eq!(early.len(), 1);
     assert!(late.is_empty());
@@ -114,10 +114,14 @@
 
 #[test]
 fn confirmed_revision_does_not_wait() {
-    let mut leadership = new_office();
+    let mut leadership = new_leadership();
     leadership.grant_lease(at(0), &fleet::confirm(revision(6)));
 
-    assert!(leadership.waiting(at(1), revision(6), &known()).is_empty());
+    assert!(
+        leadership
+            .entries_behind(at(1), revision(6), &fleet_with_one_of_each())
+            .is_empty()
+    );
 }
 
 // The source of an entry's view stands still, a change is committed, and the leader stands
@@ -125,8 +129,8 @@
 // would see a withdrawn key work for longer than two seconds.
 #[test]
 fn change_is_acknowledged_once_little_is_left_of_each_lease() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     fleet.view_revision = revision(6);
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
@@ -139,8 +143,8 @@
 
 #[test]
 fn change_that_all_confirmed_is_acknowledged_at_once() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     fleet.view_revision = revision(6);
     leadership.grant_lease(at(0), &fleet::confirm(revision(6)));
 
@@ -152,8 +156,8 @@
 // the time since the commit.
 #[test]
 fn view_before_an_acknowledged_change_gets_no_lease() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
     fleet.view_revision = revision(6);
     leadership.record_revision(at(2_000), revision(6));
@@ -168,8 +172,8 @@
 // predecessor gave runs on, though this leader gives none.
 #[test]
 fn lease_of_a_predecessor_counts_after_a_confirmation_without_one() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     fleet.view_revision = revision(6);
     leadership.record_revision(at(0), revision(6));
     leadership.grant_lease(at(10), &fleet::confirm(revision(4)));
@@ -180,53 +184,58 @@
 
 // An endpoint's process dies without a word; its heartbeats stop.
 #[test]
-fn silent_endpoint_becomes_suspect_and_an_audible_one_does_not() {
-    let mut leadership = new_office();
-    let fleet = known();
-    leadership.hear(at(2_000), &seen(2));
+fn silent_endpoint_becomes_suspect_and_a_heard_one_does_not() {
+    let mut leadership = new_leadership();
+    let fleet = fleet_with_one_of_each();
+    leadership.record_heartbeat(at(2_000), &seen(2));
 
-    let audible = leadership.findings(at(4_000), &fleet).endpoints;
-    let silent = leadership.findings(at(5_001), &fleet).endpoints;
+    let heard = leadership.check_liveness(at(4_000), &fleet).endpoints;
+    let silent = leadership.check_liveness(at(5_001), &fleet).endpoints;
 
-    assert!(audible.is_empty());
+    assert!(heard.is_empty());
     assert_eq!(silent, [endpoint::Step::Silent(seen(2))]);
 }
 
 #[test]
 fn suspect_that_is_heard_again_is_ready() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     let command = command::Command::Endpoint(endpoint::Step::Silent(seen(1)));
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
-    leadership.hear(at(9_000), &seen(7));
+    leadership.record_heartbeat(at(9_000), &seen(7));
 
-    let found = leadership.findings(at(9_100), &fleet).endpoints;
+    let transitions = leadership.check_liveness(at(9_100), &fleet).endpoints;
 
-    assert_eq!(found, [endpoint::Step::Heard(seen(7))]);
+    assert_eq!(transitions, [endpoint::Step::Heard(seen(7))]);
 }
 
 #[test]
 fn entry_that_is_gone_leaves_the_address_list() {
-    let leadership = new_office();
+    let leadership = new_leadership();
 
-    let found = leadership.findings(at(4_501), &known()).members;
+    let transitions = leadership
+        .check_liveness(at(4_501), &fleet_with_one_of_each())
+        .members;
 
-    assert!(matches!(found.as_slice(), [member::Step::Gone { .. }]));
+    assert!(matches!(
+        transitions.as_slice(),
+        [member::Step::Gone { .. }]
+    ));
 }
 
 // An operator drains an endpoint, and a cut keeps its heartbeats away for a
 // while. Forgotten, it would be back in service once the cut ends.
 #[test]
 fn drained_endpoint_is_not_forgotten_when_it_falls_silent() {
-    let leadership = new_office();
-    let mut fleet = known();
+    let leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     let author = fleet::author("c-1");
     let name = "runner-1".into();
     let command = command::Command::Drain(operator::Drain { author, name });
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
 
-    let silent = leadership.findings(at(10_000), &fleet).endpoints;
-    let long_silent = leadership.findings(at(600_001), &fleet).endpoints;
+    let silent = leadership.check_liveness(at(10_000), &fleet).endpoints;
+    let long_silent = leadership.check_liveness(at(600_001), &fleet).endpoints;
 
     assert!(silent.is_empty());
     assert!(matches!(
@@ -236,9 +245,9 @@
 }
 
 #[test]
-fn names_of_the_past_take_no_room() {
-    let mut leadership = new_office();
-    leadership.hear(at(0), &seen(1));
+fn records_of_forgotten_names_are_dropped() {
+    let mut leadership = new_leadership();
+    leadership.record_heartbeat(at(0), &seen(1));
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
     leadership.prune(at(700_000), &state::Fleet::default());
@@ -251,15 +260,15 @@
 // News of what engines hold come fifty times a second; an entry that is behind by such a
 // one alone must keep its lease.
 #[test]
-fn news_of_adapters_cost_no_entry_its_lease() {
-    let mut fleet = known();
-    let told = view::Residency {
+fn change_of_adapters_costs_no_entry_its_lease() {
+    let mut fleet = fleet_with_one_of_each();
+    let residency = view::Residency {
         endpoint: "runner-1".parse().unwrap(),
         boot: number::Boot(1),
         retiring: Vec::new(),
         adapters: vec!["model/a1".parse().unwrap()],
     };
-    let command = command::Command::Residency(told);
+    let command = command::Command::Residency(residency);
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
     let mut leadership =
         leadership::Leadership::new(number::Term(1), START, fleet.binding_revision);
@@ -273,8 +282,8 @@
 
 // An endpoint that leaves is told so once entries send it nothing more.
 #[test]
-fn leaving_endpoint_is_waited_for() {
-    let mut fleet = known();
+fn drain_of_an_endpoint_is_a_binding_change() {
+    let mut fleet = fleet_with_one_of_each();
     let author = fleet::author("c-1");
     let name = "runner-1".into();
     let command = command::Command::Drain(operator::Drain { author, name });
--- a/crates/cranberrygap-control/tests/leadership_former_process.rs
+++ b/crates/cranberrygap-control/tests/leadership_former_process.rs
@@ -15,7 +15,7 @@
 }
 
 /// A fleet of one entry and one runner, both in their second process.
-fn known() -> state::Fleet {
+fn fleet_with_restarted_processes() -> state::Fleet {
     let mut fleet = state::Fleet::default();
     let confirm = confirm(2);
     let member = view::Member {
@@ -67,14 +67,16 @@
 // A heartbeat that a partition held up arrives after its sender has crashed and come back:
 // the healthy runner would get no requests until its next heartbeat.
 #[test]
-fn late_heartbeat_of_a_former_process_silences_no_endpoint() {
+fn late_heartbeat_of_a_former_process_makes_no_endpoint_suspect() {
     let mut leadership = leadership();
-    leadership.hear(at(60_000), &seen(2, 9));
-    leadership.hear(at(60_100), &seen(1, 40));
+    leadership.record_heartbeat(at(60_000), &seen(2, 9));
+    leadership.record_heartbeat(at(60_100), &seen(1, 40));
 
-    let found = leadership.findings(at(60_200), &known()).endpoints;
+    let transitions = leadership
+        .check_liveness(at(60_200), &fleet_with_restarted_processes())
+        .endpoints;
 
-    assert_eq!(found, []);
+    assert_eq!(transitions, []);
 }
 
 // The same of an entry: it would leave the address list, and its running bookings would be
@@ -85,15 +87,17 @@
     leadership.grant_lease(at(60_000), &confirm(2));
     leadership.grant_lease(at(60_100), &confirm(1));
 
-    let found = leadership.findings(at(60_200), &known()).members;
+    let transitions = leadership
+        .check_liveness(at(60_200), &fleet_with_restarted_processes())
+        .members;
 
-    assert_eq!(found, []);
+    assert_eq!(transitions, []);
 }
 
 // The former process had a later view than its successor has. Were its word taken for the
 // successor's, an operator would see a withdrawn key work after being told that none does.
 #[test]
-fn late_confirmation_of_a_former_process_is_not_its_successors() {
+fn late_confirmation_of_a_former_process_does_not_count_for_its_successor() {
     let mut leadership = leadership();
     leadership.grant_lease(at(60_000), &confirm(2));
     let late = view::Confirm {
@@ -102,14 +106,18 @@
     };
     leadership.grant_lease(at(60_100), &late);
 
-    let waiting = leadership.waiting(at(60_200), number::Revision(6), &known());
+    let waiting = leadership.entries_behind(
+        at(60_200),
+        number::Revision(6),
+        &fleet_with_restarted_processes(),
+    );
 
     assert_eq!(waiting.len(), 1);
 }
 
 // The reverse: the successor has the change, and no word from before holds it up.
 #[test]
-fn late_confirmation_of_a_former_process_holds_up_no_change() {
+fn late_confirmation_of_a_former_process_delays_no_change() {
     let mut leadership = leadership();
     let current = view::Confirm {
         revision: number::Revision(6),
@@ -118,7 +126,11 @@
     leadership.grant_lease(at(60_000), &current);
     leadership.grant_lease(at(60_100), &confirm(1));
 
-    let waiting = leadership.waiting(at(60_200), number::Revision(6), &known());
+    let waiting = leadership.entries_behind(
+        at(60_200),
+        number::Revision(6),
+        &fleet_with_restarted_processes(),
+    );
 
     assert!(waiting.is_empty(), "{waiting:?}");
 }
--- a/crates/cranberrygap-control/tests/limits_takeover.rs
+++ b/crates/cranberrygap-control/tests/limits_takeover.rs
@@ -13,8 +13,8 @@
 const COST: u64 = 500;
 
 /// When the second leader takes over.
-const TAKEOVER: u64 = 3_500;
-const END: u64 = 5_500;
+const TAKEOVER_MILLIS: u64 = 3_500;
+const END_MILLIS: u64 = 5_500;
 
 fn at(millis: u64) -> duration::Instant {
     duration::Instant(millis * 1_000)
@@ -43,9 +43,14 @@
 }
 
 fn successor(logged: &state::Shares) -> granter::Granter {
-    let known = BTreeMap::from([(workspace(), limit())]);
+    let limits_by_workspace = BTreeMap::from([(workspace(), limit())]);
     let logged: Vec<share::Allocation> = logged.iter().cloned().collect();
-    granter::Granter::new(at(TAKEOVER), number::Term(2), &known, &logged)
+    granter::Granter::new(
+        at(TAKEOVER_MILLIS),
+        number::Term(2),
+        &limits_by_workspace,
+        &logged,
+    )
 }
 
 fn entry(text: &str, boot: u64, lender: Option<&str>) -> holder::Holder {
@@ -71,10 +76,10 @@
 
 /// Sends what callers ask for, more than the rate; gives the admitted tokens.
 fn admitted(holder: &mut holder::Holder, now: duration::Instant) -> u64 {
-    let patience = holder::MaxWait::uniform(duration::Span::from_millis(200));
+    let max_wait = holder::MaxWait::uniform(duration::Span::from_millis(200));
     let mut tokens = 0;
     for _request in 0..2 {
-        let verdict = holder.admit(now, &workspace(), token::Count(COST), patience);
+        let verdict = holder.admit(now, &workspace(), token::Count(COST), max_wait);
         tokens += u64::from(matches!(verdict, holder::Admission::Admitted(_))) * COST;
     }
     let decided = holder.poll(now).into_iter();
@@ -88,7 +93,7 @@
 // when a new leader takes over. Its lease runs on, so callers there get what it holds; the
 // new leader must not give the same to others before that lease has ended.
 #[test]
-fn new_leader_gives_nothing_that_an_entry_may_lend() {
+fn new_leader_grants_no_tokens_that_an_entry_may_lend() {
     let mut log = state::Shares::default();
     let mut first = leader();
     let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
@@ -97,10 +102,10 @@
     let mut other = entry("other", 2, None);
     let mut second = None;
     let mut spent = 0;
-    for millis in (0..END).step_by(5) {
+    for millis in (0..END_MILLIS).step_by(5) {
         let now = at(millis);
-        let before = millis < TAKEOVER;
-        if before {
+        let before_takeover = millis < TAKEOVER_MILLIS;
+        if before_takeover {
             if lending.next_renewal_at() <= now {
                 let renewal = lending.begin_renewal(now);
                 let granted = answer(&mut first, &mut log, now, &renewal);
@@ -130,6 +135,6 @@
         }
     }
 
-    let most = BURST + RATE * (END - TAKEOVER) / 1_000;
-    assert!(spent <= most, "{spent} of {most}");
+    let max_tokens = BURST + RATE * (END_MILLIS - TAKEOVER_MILLIS) / 1_000;
+    assert!(spent <= max_tokens, "{spent} of {max_tokens}");
 }
--- a/crates/cranberrygap-control/tests/process.rs
+++ b/crates/cranberrygap-control/tests/process.rs
@@ -28,11 +28,14 @@
 
 async fn confirmed(group: &fleet::Group, revision: number::Revision) -> view::Confirmed {
     let confirm = fleet::confirm(revision);
-    group.tell(method::VIEW_CONFIRM, &confirm).await.unwrap()
+    group
+        .call_as_entry(method::VIEW_CONFIRM, &confirm)
+        .await
+        .unwrap()
 }
 
 async fn applied(group: &fleet::Group, apply: &operator::Apply) -> operator::Applied {
-    group.ask(method::APPLY, apply).await.unwrap()
+    group.call_as_operator(method::APPLY, apply).await.unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -86,7 +89,7 @@
 // A key is withdrawn while an entry serves with a lease. The operator must not
 // hear "in force" before the entry confirmed it or its lease ran out.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn withdrawal_is_in_force_once_the_entry_confirmed_it() {
+async fn withdrawal_is_in_force_once_the_entry_has_confirmed_it() {
     let group = fleet::Group::start(1).await;
     let issued = group.issue("c-1", &fleet::secret(1)).await;
     let joined = confirmed(&group, issued.revision).await;
@@ -95,14 +98,17 @@
 
     let withdrawn = group.withdraw("c-2", &fleet::secret(1)).await;
     confirmed(&group, withdrawn.revision).await;
-    let force: operator::Force = group.ask(method::FORCE, &withdrawn.revision).await.unwrap();
+    let force: operator::Force = group
+        .call_as_operator(method::FORCE, &withdrawn.revision)
+        .await
+        .unwrap();
 
     assert!(force.in_force, "waits for {:?}", force.waiting);
 }
 
 // Two operators apply from the same revision at the same time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_two_operators_with_equal_numbers_one_wins() {
+async fn one_of_two_concurrent_applies_is_accepted() {
     let group = fleet::Group::start(3).await;
     let (one, other) = (
         apply("c-1", 0, "[defaults]\nrate = 1/s\n"),
@@ -134,7 +140,8 @@
 
     assert!(matches!(first, operator::Applied::Accepted { .. }));
     assert_eq!(first, second);
-    let history: Vec<operator::Record> = group.ask(method::HISTORY, &()).await.unwrap();
+    let history: Vec<operator::Record> =
+        group.call_as_operator(method::HISTORY, &()).await.unwrap();
     assert_eq!(history.len(), 1);
 }
 
@@ -147,7 +154,7 @@
 
     group.stop(0).await;
     group.run(0).await;
-    let shown: view::State = group.ask(method::SHOW, &()).await.unwrap();
+    let shown: view::State = group.call_as_operator(method::SHOW, &()).await.unwrap();
 
     assert_eq!(shown.configuration.defaults.rate.to_string(), "7/s");
     assert_eq!(shown.keys.len(), 1);
@@ -192,9 +199,9 @@
     method: &'static str,
     params: &P,
 ) -> operator::Group {
-    let deadline = tokio::time::Instant::now() + fleet::PATIENCE;
+    let deadline = tokio::time::Instant::now() + fleet::TIMEOUT;
     loop {
-        match group.ask(method, params).await {
+        match group.call_as_operator(method, params).await {
             Ok(group) => return group,
             Err(cause) => assert!(tokio::time::Instant::now() < deadline, "{cause}"),
         }
--- a/crates/cranberrygap-control/tests/replica.rs
+++ b/crates/cranberrygap-control/tests/replica.rs
@@ -70,20 +70,20 @@
         support::commit(&running, &number.to_string()).await;
     }
     let leader = support::await_leader(&running).await;
-    let place = running.iter().position(|one| one.peer != leader.peer);
-    let lost = running.remove(place.unwrap());
+    let position = running.iter().position(|one| one.peer != leader.peer);
+    let lost = running.remove(position.unwrap());
     let before = lost.replica.dump().await;
 
     lost.replica.stop().await;
     std::fs::remove_dir_all(group.folder(&lost.peer)).unwrap();
     let back = support::reopen(&group, &lost.peer).await;
     running.push(back.clone());
-    support::settle("joins", async || {
+    support::wait_until("joins", async || {
         back.replica.dump().await["phase"] == "running"
     })
     .await;
-    let alone = back.replica.dump().await;
-    support::replace(&running, &lost.peer.instance).await;
+    let joined = back.replica.dump().await;
+    support::replace_replica(&running, &lost.peer.instance).await;
 
     let leader = support::await_leader(&running).await;
     let failing = running
@@ -95,8 +95,8 @@
         back.recorder.payloads.lock().len() == 31
     })
     .await;
-    assert_ne!(before["replica"], alone["replica"]);
-    assert_eq!(alone["state"]["members"], serde_json::json!([]));
+    assert_ne!(before["replica"], joined["replica"]);
+    assert_eq!(joined["state"]["members"], serde_json::json!([]));
 }
 
 // A replica was away while the others compacted their logs. It gets a snapshot
@@ -129,13 +129,13 @@
 // The leader's instance is taken out of service. Without a hand-over all changes
 // and leases would wait for an election.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leader_hands_over_before_a_planned_stop() {
+async fn leader_transfers_leadership_before_a_planned_stop() {
     let group = support::group(3, NO_SNAPSHOT);
     let running = group.start_all();
     support::commit(&running, "one").await;
     let old = support::await_leader(&running).await;
 
-    old.replica.transfer().await.unwrap();
+    old.replica.transfer_leadership().await.unwrap();
     let led = old.replica.status().leads;
     old.replica.stop().await;
     let others: Vec<_> = running
@@ -150,9 +150,9 @@
 // The leader's disk fails in the middle of a sync. What it cannot write it must
 // not acknowledge, and the others must take over.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn failed_disk_ends_the_part_of_its_replica_only() {
+async fn failed_disk_stops_only_its_replica() {
     let group = support::group(3, NO_SNAPSHOT);
-    let disk = support::Faulty::default();
+    let disk = support::FaultyDisk::default();
     let faulty = group.start_on(Box::new(disk.clone()), &group.voters[0]);
     let mut running: Vec<_> = group.voters[1..]
         .iter()
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn proposals_at_a_follower_are_refused_with_the_leaders_name() {
+async fn follower_refuses_proposals_and_names_the_leader() {
     let group = support::group(3, NO_SNAPSHOT);
     let running = group.start_all();
     support::commit(&running, "one").await;
@@ -213,22 +213,22 @@
 // day: a whole core share used and no byte sent for 2.4 s after "leads in term 6", then
 // "leads no more", and the same once more in term 8.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn leader_with_a_long_log_to_apply_stays_the_leader() {
+async fn leader_with_a_long_log_to_apply_keeps_leadership() {
     const CHANGES: usize = 300;
-    const SIZE: usize = 20 << 10;
+    const CHANGE_BYTES: usize = 20 << 10;
     // One election may be split and need a second term.
-    const MOST_TERMS: u64 = 2;
+    const MAX_TERMS: u64 = 2;
     let mut group = support::group(3, NO_SNAPSHOT);
     let running = group.start_all();
     for _ in 0..CHANGES {
-        support::commit(&running, &"x".repeat(SIZE)).await;
+        support::commit(&running, &"x".repeat(CHANGE_BYTES)).await;
     }
     let before = support::await_leader(&running).await.replica.status().term;
     for one in &running {
         one.replica.stop().await;
     }
     drop(running);
-    group.pace = std::time::Duration::from_millis(10);
+    group.apply_time = std::time::Duration::from_millis(10);
 
     let mut back = Vec::new();
     for peer in &group.voters {
@@ -236,8 +236,8 @@
     }
     let leader = support::await_leader(&back).await;
 
-    let terms = leader.replica.status().term.0 - before.0;
-    assert!(terms <= MOST_TERMS, "{terms} terms until one leads");
+    let new_terms = leader.replica.status().term.0 - before.0;
+    assert!(new_terms <= MAX_TERMS, "{new_terms} terms until one leads");
 }
 
 // Operators send large changes all day; the count of entries after which the log was
@@ -246,16 +246,16 @@
 // entries got a view. Shown by the start of such a process, which took 0.7 s to its first
 // line, while one with an empty folder took 0.05 s.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn log_of_large_changes_is_shortened_by_its_size() {
+async fn log_of_large_changes_is_compacted_by_its_size() {
     const CHANGES: usize = 300;
-    const SIZE: usize = 20 << 10;
-    const MOST_READ: usize = 4 << 20;
+    const CHANGE_BYTES: usize = 20 << 10;
+    const MAX_APPLIED_BYTES: usize = 4 << 20;
     let mut group = support::group(1, NO_SNAPSHOT);
-    group.keeps_last = true;
+    group.keep_last_only = true;
     group.snapshot_bytes = replica::SNAPSHOT_BYTES;
     let running = group.start_all();
     for _ in 0..CHANGES {
-        support::commit(&running, &"x".repeat(SIZE)).await;
+        support::commit(&running, &"x".repeat(CHANGE_BYTES)).await;
     }
     running[0].replica.stop().await;
     drop(running);
@@ -265,7 +265,7 @@
 
     let applied = again.recorder.applied.load(Ordering::SeqCst);
     assert!(
-        applied * SIZE <= MOST_READ,
+        applied * CHANGE_BYTES <= MAX_APPLIED_BYTES,
         "{applied} entries are applied again"
     );
 }
@@ -273,13 +273,13 @@
 // A leader that no settings name must hear of a replica that presents itself: the group would
 // stay without it, and the next loss of folders would leave no quorum.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leader_that_no_settings_name_takes_in_a_replica_with_a_new_folder() {
+async fn leader_missing_in_settings_adds_a_replica_with_a_new_folder() {
     let group = support::group(3, NO_SNAPSHOT);
     let mut running = group.start_all();
     support::commit(&running, "one").await;
     let fourth = group.start(&support::peer(4));
     running.push(fourth.clone());
-    support::settle("the fourth is added", async || {
+    support::wait_until("the fourth is added", async || {
         let leader = support::await_leader(&running).await;
         leader
             .replica
@@ -288,7 +288,7 @@
             .is_ok()
     })
     .await;
-    support::settle("the fourth votes", async || {
+    support::wait_until("the fourth votes", async || {
         let leader = support::await_leader(&running).await;
         leader.replica.promote(&fourth.peer.instance).await.is_ok()
     })
@@ -299,21 +299,25 @@
         }
         let leader = support::await_leader(&running).await;
         // Refused while another hand-over is under way; the next look tries again.
-        drop(leader.replica.transfer().await);
+        drop(leader.replica.transfer_leadership().await);
         support::commit(&running, "next").await;
     }
     assert!(fourth.replica.status().leads, "the fourth never led");
-    let place = running.iter().position(|one| one.peer != fourth.peer);
-    let lost = running.remove(place.unwrap());
+    let position = running.iter().position(|one| one.peer != fourth.peer);
+    let lost = running.remove(position.unwrap());
 
     lost.replica.stop().await;
     std::fs::remove_dir_all(group.folder(&lost.peer)).unwrap();
     let back = support::reopen(&group, &lost.peer).await;
-    support::settle("the lost replica is out", async || {
-        fourth.replica.remove(&lost.peer.instance).await.is_ok()
+    support::wait_until("the lost replica is out", async || {
+        fourth
+            .replica
+            .remove_member(&lost.peer.instance)
+            .await
+            .is_ok()
     })
     .await;
-    support::settle("the new replica is added", async || {
+    support::wait_until("the new replica is added", async || {
         fourth
             .replica
             .add_learner(&lost.peer.instance)
--- a/crates/cranberrygap-control/tests/shares.rs
+++ b/crates/cranberrygap-control/tests/shares.rs
@@ -83,7 +83,7 @@
 }
 
 /// A leader of sixteen workspaces.
-fn leader() -> (Arc<SlowLog>, Arc<shares::Shares>) {
+fn leader() -> (Arc<SlowLog>, Arc<shares::Coordinator>) {
     let state = Arc::new(replicated::State::default());
     let log = Arc::new(SlowLog {
         state: Arc::clone(&state),
@@ -99,9 +99,9 @@
     log.apply(&serde_json::to_vec(&proposal).unwrap());
     let proposer = proposer::Proposer::new(Arc::clone(&log) as _);
     let clock = clock::Clock::start();
-    let shares = shares::Shares::new(state, proposer, clock, metric::Recorder::none());
+    let shares = shares::Coordinator::new(state, proposer, clock, metric::Recorder::none());
     let shares = Arc::new(shares);
-    tokio::spawn(Arc::clone(&shares).watch());
+    tokio::spawn(Arc::clone(&shares).run());
     (log, shares)
 }
 
@@ -129,7 +129,7 @@
 
 // Renewals that wait for a commit each are given up by their entries, which refuse callers.
 #[tokio::test]
-async fn renewals_that_come_together_share_a_commit() {
+async fn concurrent_renewals_share_a_commit() {
     let (log, shares) = leader();
     let before = log.commits();
 
@@ -146,12 +146,12 @@
 async fn renewal_of_an_entry_that_is_gone_is_not_granted() {
     let (_log, shares) = leader();
     let first = shares.renew(renewal(0));
-    let gone = async {
+    let abandoned = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         let renewal = shares.renew(renewal(1));
         drop(tokio::time::timeout(Duration::from_millis(1), renewal).await);
     };
-    let (granted, ()) = future::join(first, gone).await;
+    let (granted, ()) = future::join(first, abandoned).await;
 
     let again = shares.renew(renewal(1)).await;
 
--- a/crates/cranberrygap-control/tests/support/mod.rs
+++ b/crates/cranberrygap-control/tests/support/mod.rs
@@ -21,21 +21,21 @@
 pub struct Recorder {
     pub payloads: Mutex<Vec<Bytes>>,
     /// Time that one entry takes.
-    pub pace: Duration,
+    pub apply_time: Duration,
     /// Whether only the last payload is kept, as where each change replaces the one before.
-    pub keeps_last: bool,
+    pub keep_last_only: bool,
     /// Entries applied since the start.
     pub applied: AtomicUsize,
 }
 
 impl state_machine::StateMachine for Recorder {
     fn apply(&self, _index: number::Index, payload: &[u8]) -> Bytes {
-        if !self.pace.is_zero() {
-            std::thread::sleep(self.pace);
+        if !self.apply_time.is_zero() {
+            std::thread::sleep(self.apply_time);
         }
         self.applied.fetch_add(1, Ordering::SeqCst);
         let mut payloads = self.payloads.lock();
-        if self.keeps_last {
+        if self.keep_last_only {
             payloads.clear();
         }
         payloads.push(Bytes::copy_from_slice(payload));
@@ -74,7 +74,7 @@
         self.cut.lock().clear();
     }
 
-    fn carry(&self, from: &address::Peer, to: &address::Peer, message: Bytes) {
+    fn deliver(&self, from: &address::Peer, to: &address::Peer, message: Bytes) {
         let cut = self.cut.lock();
         if cut.contains(&from.instance) || cut.contains(&to.instance) {
             return;
@@ -88,14 +88,14 @@
 
 /// One replica's end of the network.
 #[derive(Debug)]
-struct Line {
+struct Link {
     own: address::Peer,
     network: Arc<Network>,
 }
 
-impl transport::Transport for Line {
+impl transport::Transport for Link {
     fn send(&self, peer: &address::Peer, message: Bytes) {
-        self.network.carry(&self.own, peer, message);
+        self.network.deliver(&self.own, peer, message);
     }
 }
 
@@ -117,9 +117,9 @@
     pub snapshot_bytes: u64,
     pub trailing: u64,
     /// Time that the state machines take for one entry.
-    pub pace: Duration,
+    pub apply_time: Duration,
     /// Whether they keep the last payload only.
-    pub keeps_last: bool,
+    pub keep_last_only: bool,
 }
 
 pub fn peer(number: usize) -> address::Peer {
@@ -136,8 +136,8 @@
         snapshot_after,
         snapshot_bytes: u64::MAX,
         trailing: limits::Limits::default().trailing_entries,
-        pace: Duration::ZERO,
-        keeps_last: false,
+        apply_time: Duration::ZERO,
+        keep_last_only: false,
     }
 }
 
@@ -164,17 +164,17 @@
             })
             .build();
         let recorder = Arc::new(Recorder {
-            pace: self.pace,
-            keeps_last: self.keeps_last,
+            apply_time: self.apply_time,
+            keep_last_only: self.keep_last_only,
             ..Recorder::default()
         });
-        let line = Line {
+        let link = Link {
             own: peer.clone(),
             network: Arc::clone(&self.network),
         };
         let machine: Arc<dyn state_machine::StateMachine> = Arc::<Recorder>::clone(&recorder);
-        let line = Arc::new(line);
-        let replica = replica::Replica::start_on(files, settings, machine, line).unwrap();
+        let link = Arc::new(link);
+        let replica = replica::Replica::start_with_files(files, settings, machine, link).unwrap();
         self.network.attach(&peer.instance, &replica);
         Running {
             peer: peer.clone(),
@@ -196,7 +196,7 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never came: {what}");
+    panic!("timed out waiting for: {what}");
 }
 
 pub fn leader(replicas: &[Running]) -> Option<Running> {
@@ -232,19 +232,19 @@
 
 /// A disk whose syncs can be made to fail; it has no content that lasts.
 #[derive(Debug, Clone, Default)]
-pub struct Faulty {
+pub struct FaultyDisk {
     files: Arc<Mutex<BTreeMap<String, Vec<u8>>>>,
     failing: Arc<AtomicBool>,
 }
 
-impl Faulty {
+impl FaultyDisk {
     /// Lets every sync fail from now on.
     pub fn fail(&self) {
         self.failing.store(true, Ordering::SeqCst);
     }
 }
 
-impl files::Files for Faulty {
+impl files::Files for FaultyDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.files.lock().keys().cloned().collect())
     }
@@ -285,31 +285,31 @@
 }
 
 /// Waits for a condition that has to be asked for.
-pub async fn settle(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..1_500 {
         if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("never came: {what}");
+    panic!("timed out waiting for: {what}");
 }
 
 /// Takes an instance's lost replica out and its new one in, as an operator does.
-pub async fn replace(replicas: &[Running], instance: &id::Instance) {
-    settle("the lost replica is out", async || match leader(replicas) {
-        Some(leader) => leader.replica.remove(instance).await.is_ok(),
+pub async fn replace_replica(replicas: &[Running], instance: &id::Instance) {
+    wait_until("the lost replica is out", async || match leader(replicas) {
+        Some(leader) => leader.replica.remove_member(instance).await.is_ok(),
         None => false,
     })
     .await;
-    settle("the new replica is added", async || {
+    wait_until("the new replica is added", async || {
         match leader(replicas) {
             Some(leader) => leader.replica.add_learner(instance).await.is_ok(),
             None => false,
         }
     })
     .await;
-    settle("the new replica votes", async || match leader(replicas) {
+    wait_until("the new replica votes", async || match leader(replicas) {
         Some(leader) => leader.replica.promote(instance).await.is_ok(),
         None => false,
     })
