--- a/crates/cranberrygap-control/src/boots.rs
+++ b/crates/cranberrygap-control/src/boots.rs
@@ -1,18 +1,18 @@
-//! What was heard of the processes that have had one name.
+//! Values recorded for the recent processes that ran under one name, by boot.
 
 use cranberrygap_model::number;
 
-/// Processes of one name that are kept. More restarts than this within the life of one
-/// late message do not happen.
+/// Processes of one name that are kept. More restarts than this do not happen while one late
+/// message is in transit.
 const MAX_BOOTS: usize = 8;
 
-/// Something of each process by its boot.
+/// Latest value of each recent process of one name, by its boot.
 ///
-/// Boots have no order: a message that was held up may arrive after one of its sender's
-/// successor. Which process lives is for the replicated state to say.
+/// Boots have no order, since a delayed message may arrive after one of the sender's successor.
+/// Only the replicated state tells which process is the current one.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Recent<T> {
-    /// The one that was heard last is the last.
+    /// Boots and values in the order they were heard, the latest last.
     values: Vec<(number::Boot, T)>,
 }
 
@@ -23,13 +23,13 @@
 }
 
 impl<T> Recent<T> {
-    /// What is known of the process with this boot.
+    /// Returns the value of the process with this boot.
     pub(crate) fn get(&self, boot: number::Boot) -> Option<&T> {
         let entry = self.values.iter().find(|(other, _)| *other == boot);
         entry.map(|(_, value)| value)
     }
 
-    /// Notes what was heard of a process just now.
+    /// Records the value of a process that was just heard.
     pub(crate) fn insert(&mut self, boot: number::Boot, value: T) {
         self.values.retain(|(other, _)| *other != boot);
         self.values.push((boot, value));
@@ -38,12 +38,12 @@
         }
     }
 
-    /// What was heard last, whichever process it was of.
+    /// Returns the value heard last, of whichever process.
     pub(crate) fn latest(&self) -> Option<&T> {
         self.values.last().map(|(_, value)| value)
     }
 
-    /// All processes, the one that was heard last at the end.
+    /// Returns all processes in the order they were heard, the latest last.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &(number::Boot, T)> {
         self.values.iter()
     }
--- a/crates/cranberrygap-control/src/confirmation.rs
+++ b/crates/cranberrygap-control/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmations of entries, for which they get their leases.
+//! Handles the entries' confirmations, which renew their leases.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
 use crate::proposer;
 use crate::replicated;
 
-/// Announcements that one confirmation may bring.
+/// Most announcements that one confirmation may carry.
 const MAX_ANNOUNCEMENTS: usize = 4_096;
 
-/// Takes confirmations while this process leads.
+/// Handler of confirmations while this process leads.
 #[derive(Debug)]
 pub struct Handler {
     state: Arc<replicated::State>,
@@ -27,7 +27,7 @@
 }
 
 impl Handler {
-    /// Confirmations that change `state` through `proposer`.
+    /// Creates a handler that changes `state` through `proposer`.
     #[must_use]
     pub const fn new(
         state: Arc<replicated::State>,
@@ -43,15 +43,14 @@
         }
     }
 
-    /// Takes a confirmation: everything new goes into the log, then the entry
-    /// gets its lease.
+    /// Commits everything new in a confirmation, then grants the entry its lease.
     ///
-    /// What it heard is noted before: commits may take longer than the silence after
-    /// which endpoints and entries are taken for dead.
+    /// Heartbeats in it are recorded before that, since the commits may take longer than the
+    /// silence after which endpoints and entries count as dead.
     ///
     /// # Errors
     ///
-    /// When this process does not lead, or the log takes nothing.
+    /// When this process does not lead, or the log rejects a command.
     pub async fn handle(&self, confirm: &view::Confirm) -> Result<view::Confirmed, server::Fault> {
         self.proposer.check_leads()?;
         let record = || {
@@ -61,7 +60,7 @@
         self.metrics.measure(metric::Work::Lease, record);
         self.commit_member(confirm).await?;
         self.commit_announcements(confirm).await?;
-        // Committing may have taken long; only who leads now may grant.
+        // The commits may have taken long, and only the current leader may grant.
         let status = self.proposer.check_leads()?;
         let grant = || {
             self.detector
@@ -81,8 +80,8 @@
         })
     }
 
-    /// An entry must be known before it gets a lease: a new leader takes from
-    /// the state who may hold one.
+    /// Commits an entry that is new or changed. An entry must be in the state before it gets a
+    /// lease, since a new leader reads from the state which entries may hold one.
     async fn commit_member(&self, confirm: &view::Confirm) -> Result<(), server::Fault> {
         let member = view::Member {
             instance: confirm.instance.clone(),
--- a/crates/cranberrygap-control/src/delta.rs
+++ b/crates/cranberrygap-control/src/delta.rs
@@ -1,4 +1,4 @@
-//! Changes that wait for the next frame to one follower of the view.
+//! Changes of the view that wait for the next delta frame to one subscriber.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 
 use crate::encoded;
 
-/// Changes since the last frame.
+/// Buffer of the changes since the last frame.
 ///
-/// A frame for each change would cost a process the more, the more follow the view from it.
-/// With a gap between frames that grows with them, its frames a second stay bounded.
+/// One frame per change would cost more the more subscribers a process has. The gap between frames
+/// grows with the number of subscribers, which bounds the frames sent per second.
 #[derive(Debug, Clone, Default)]
 pub struct Buffer {
     revision: number::Revision,
@@ -22,16 +22,17 @@
     last_sent: Option<duration::Instant>,
 }
 
-/// The changes up to a revision, in the form of a frame.
+/// Changes up to a revision, serialized as a delta frame.
 #[derive(Debug, Clone)]
 pub struct Delta {
-    /// The revision that they lead to.
+    /// Revision of the view after the changes.
     pub revision: number::Revision,
-    /// The changes, in their order.
+    /// Changes in the order they are applied.
     pub changes: Vec<Arc<encoded::Change>>,
 }
 
-/// What a change replaces as a whole.
+/// Part of the view that a change replaces as a whole. A later change with the same key makes it
+/// obsolete.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Configuration,
@@ -44,20 +45,21 @@
 }
 
 impl Buffer {
-    /// Takes the changes that lead to `revision`.
+    /// Adds the changes that lead to `revision`.
     pub fn push(&mut self, revision: number::Revision, changes: &[Arc<encoded::Change>]) {
         self.revision = revision;
         self.changes.extend(changes.iter().cloned());
     }
 
-    /// Forgets what waits; a snapshot that was sent at `now` holds it.
+    /// Discards the buffered changes, which a snapshot sent at `now` includes.
     pub fn reset(&mut self, now: duration::Instant) {
         self.changes.clear();
         self.last_sent = Some(now);
     }
 
-    /// When the next frame may be sent by a process with so many followers; `None` while
-    /// nothing waits.
+    /// Returns when the next frame may be sent; `None` if no changes wait.
+    ///
+    /// The time depends on the number of subscribers of the process.
     #[must_use]
     pub fn next_due(&self, subscribers: usize) -> Option<duration::Instant> {
         if self.changes.is_empty() {
@@ -69,7 +71,7 @@
         Some(earliest.unwrap_or_default())
     }
 
-    /// The frame with all that waits, sent at `now`.
+    /// Returns a frame with all buffered changes, sent at `now`; `None` if there are none.
     pub fn take_delta(&mut self, now: duration::Instant) -> Option<Delta> {
         if self.changes.is_empty() {
             return None;
@@ -82,7 +84,7 @@
 }
 
 impl Delta {
-    /// The same with its changes read.
+    /// Returns this delta as a frame of the wire protocol.
     #[must_use]
     pub fn to_frame(&self) -> view::Frame {
         let changes = self.changes.iter();
@@ -94,7 +96,7 @@
 }
 
 impl Serialize for Delta {
-    /// As [`view::Frame::Delta`], around changes that are written already.
+    /// Serializes like [`view::Frame::Delta`], around changes that are already encoded.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let changes: Vec<&encoded::Change> = self.changes.iter().map(Arc::as_ref).collect();
         let mut frame = serializer.serialize_struct("Delta", 3)?;
@@ -105,7 +107,7 @@
     }
 }
 
-/// Leaves out changes that a later one replaces as a whole.
+/// Drops changes that a later one replaces as a whole.
 fn drop_obsolete(changes: Vec<Arc<encoded::Change>>) -> Vec<Arc<encoded::Change>> {
     let mut keys = BTreeSet::new();
     let mut kept: Vec<Arc<encoded::Change>> = changes
@@ -117,7 +119,9 @@
     kept
 }
 
-/// What a change replaces as a whole; `None` if each one counts.
+/// Returns the part of the view that a change replaces as a whole.
+///
+/// Returns `None` if every such change must be kept.
 fn replaced_key(change: &view::Change) -> Option<Key> {
     match change {
         view::Change::Configured { .. } => Some(Key::Configuration),
--- a/crates/cranberrygap-control/src/detector.rs
+++ b/crates/cranberrygap-control/src/detector.rs
@@ -1,4 +1,4 @@
-//! What the leader does by itself: notices silence, reads the store's list.
+//! Duties of the leader: detects silent entries and endpoints, and polls the weight store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +15,20 @@
 use crate::replicated;
 use crate::store;
 
-/// Time between two looks. It is part of the time in which a withdrawn key
-/// stops working, see [`leadership::LEASE`].
+/// Time between two liveness checks. It is part of the time until a withdrawn key stops working,
+/// see [`leadership::LEASE`].
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks whether all rely on a change; entries confirm one some 30 ms after
-/// it is committed.
+/// Time between two checks whether a change is in force at all entries. Entries confirm a change
+/// about 30 ms after its commit.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Time between two readings of the store's list.
+/// Time between two requests for the store's list.
 const STORE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The leader's term, shared with those who serve entries.
+/// Failure detector of the leader.
+///
+/// It also shares the term's state with the handlers of entries' calls.
 #[derive(Debug)]
 pub struct Detector {
     state: Arc<replicated::State>,
@@ -37,7 +39,7 @@
 }
 
 impl Detector {
-    /// A detector that changes `state` through `proposer`.
+    /// Creates a detector that changes `state` through `proposer`.
     #[must_use]
     pub const fn new(
         state: Arc<replicated::State>,
@@ -54,15 +56,14 @@
         }
     }
 
-    /// The process's clock.
+    /// Returns the time by the clock that leases are measured with.
     pub(crate) fn now(&self) -> duration::Instant {
         self.clock.now()
     }
 
-    /// The current term, if this process leads.
+    /// Calls `work` with the current term's state; returns `None` if this process does not lead.
     ///
-    /// Knowledge of an earlier term is dropped: another leader may have given
-    /// leases since.
+    /// The state of an earlier term is dropped, since another leader may have granted leases since.
     pub fn with_leadership<R>(
         &self,
         work: impl FnOnce(duration::Instant, &mut leadership::Leadership) -> R,
@@ -88,11 +89,11 @@
         Some(result)
     }
 
-    /// Waits until all rely on everything that is committed now; `None` if this process
-    /// stops leading before.
+    /// Waits until everything committed by now is in force at all entries.
     ///
-    /// An entry that is gone holds this up until its lease has nearly run out, and none gets
-    /// a new one without the change, so that the wait is bounded by the lease.
+    /// Returns `None` if this process stops leading before. An entry that is gone delays the return
+    /// until its lease has nearly expired. No entry gets a new lease without the change, so the
+    /// lease bounds the wait.
     pub(crate) async fn wait_until_in_force(&self) -> Option<()> {
         let revision = self.state.binding_revision();
         loop {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Looks for silence until the process stops.
+    /// Checks for silent entries and endpoints until the process stops.
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
@@ -141,12 +142,12 @@
     async fn propose(&self, command: command::Command) {
         spdlog::info!("leader: proposes {command:?}");
         if let Err(fault) = self.proposer.propose(command).await {
-            // It is found again at the next look.
+            // The next check finds it again.
             spdlog::warn!("leader: could not commit a proposal: {}", fault.message);
         }
     }
 
-    /// Follows the store's list until the process stops.
+    /// Polls the weight store's list until the process stops.
     pub(crate) async fn poll_store(self: Arc<Self>, store: store::Store) {
         let mut reachable = true;
         loop {
--- a/crates/cranberrygap-control/src/encoded.rs
+++ b/crates/cranberrygap-control/src/encoded.rs
@@ -1,11 +1,12 @@
-//! Changes of the view as they go to all who follow it.
+//! View changes, encoded once for all subscribers.
 
 use cranberrygap_wire::view;
 use serde::{Serialize, Serializer};
 use serde_json::value::RawValue;
 
-/// A change and its JSON, which is written once for all followers: a plan is tens of
-/// kilobytes.
+/// View change with its JSON, which is encoded once for all subscribers.
+///
+/// A plan has tens of kilobytes.
 #[derive(Debug, Clone)]
 pub struct Change {
     change: view::Change,
@@ -13,7 +14,7 @@
 }
 
 impl Change {
-    /// Writes `change` down.
+    /// Encodes `change`.
     ///
     /// # Panics
     ///
@@ -25,7 +26,7 @@
         Self { change, json }
     }
 
-    /// The change.
+    /// Returns the change itself.
     #[must_use]
     pub const fn change(&self) -> &view::Change {
         &self.change
--- a/crates/cranberrygap-control/src/leadership.rs
+++ b/crates/cranberrygap-control/src/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader knows during its term and does not replicate: who was heard.
+//! Leases and liveness that a leader tracks during its term and does not replicate.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,37 +8,39 @@
 
 use crate::boots;
 
-/// Time from sending its confirmation for which an entry may serve.
+/// Time for which an entry may serve, counted from sending its confirmation.
 ///
-/// Four confirmations fit into it, so that most entries serve on while a leader that
-/// froze or died is replaced and found. An entry that died holds up the next change by
-/// what is left of it beyond [`LEASE_LEFT`], less than a second.
+/// Four confirmations fit into it, so most entries go on serving while a leader that froze or died
+/// is replaced and its successor is found. A dead entry delays the next change by what is left of
+/// its lease beyond [`MAX_LEASE_LEFT`], less than a second.
 pub const LEASE: duration::Span = duration::Span::from_millis(2_400);
 
-/// What may be left of an entry's lease when a change is acknowledged that it has not
-/// confirmed: the time for which it may still serve without it. Changes must be in force within two seconds; the
-/// rest is for the answer's way and for clocks.
+/// Longest lease that an entry without a change may have left when the change is acknowledged.
+///
+/// The entry may serve without the change for that long. Changes must be in force within two
+/// seconds; the rest is for the answer's transit and for clock differences.
 pub const MAX_LEASE_LEFT: duration::Span = duration::Span::from_millis(1_500);
 
-/// Time by which an entry's view may be behind when its lease is renewed.
+/// Longest time by which an entry's view may be behind when its lease is renewed.
 pub const MAX_VIEW_LAG: duration::Span = duration::Span::from_millis(200);
 
-/// Time beyond a lease that the leader counts it as held. The clocks of two
-/// instances may run at rates that differ a little; an entry with a slow clock
-/// would serve on while an operator is told that nobody does.
+/// Time added to each lease on the leader's side. Clocks of two instances may run at slightly
+/// different rates, and an entry with a slow clock would serve on after an operator was told that
+/// no entry does.
 pub const CLOCK_DRIFT: duration::Span = duration::Span::from_millis(50);
 
-/// Time without a confirmation after which an entry leaves the address list.
-/// Longer than the lease, so that it serves nobody by then.
+/// Time without a confirmation after which an entry leaves the address list. Longer than the lease,
+/// so the entry no longer serves by then.
 pub const ENTRY_TIMEOUT: duration::Span = duration::Span::from_millis(4_500);
 
-/// Silence after which an endpoint is forgotten that was not leaving.
+/// Silence after which an endpoint that did not announce leaving is forgotten.
 pub const FORGET_AFTER: duration::Span = duration::Span::from_secs(600);
 
-/// Marks that are kept; one a leader's period, so far more than [`LAG`] needs.
+/// Revision samples that are kept. There is at most one for each check of the detector, so they
+/// cover far more than [`MAX_VIEW_LAG`].
 const MAX_REVISION_SAMPLES: usize = 64;
 
-/// One leader's term.
+/// Leases and liveness of one leader's term.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Leadership {
     term: number::Term,
@@ -46,14 +48,14 @@
     entries: BTreeMap<id::Instance, Entry>,
     endpoints: BTreeMap<id::Endpoint, boots::Recent<Heartbeat>>,
     revision_samples: VecDeque<RevisionSample>,
-    /// Latest change whose sender was told that all rely on it.
+    /// Latest revision that was acknowledged as in force at all entries.
     acknowledged: number::Revision,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Entry {
     confirmations: boots::Recent<Confirmation>,
-    /// End of the last lease that was given to any of its processes.
+    /// End of the last lease that any process of this entry was granted.
     lease_end: duration::Instant,
 }
 
@@ -69,22 +71,22 @@
     at: duration::Instant,
 }
 
-/// The revision of the last binding change as it was at a time.
+/// Revision of the last binding change at a point in time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct RevisionSample {
     at: duration::Instant,
     revision: number::Revision,
 }
 
-/// How an endpoint stands when it is judged by its silence.
+/// State of an endpoint when its silence is evaluated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndpointState {
     Ready,
     Suspect,
-    /// It said so itself; once it is silent it has left.
+    /// The endpoint announced that it leaves; once silent, it has left.
     Leaving,
-    /// An operator wants it out of service. Its process may run on behind a cut;
-    /// forgotten soon, it would come back into service when the cut ends.
+    /// An operator drained the endpoint. Its process may still run beyond a network partition; if
+    /// it were forgotten soon, it would be back in service when the partition ends.
     Drained,
     Gone,
 }
@@ -92,14 +94,16 @@
 /// Commands that the leader should propose.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Transitions {
-    /// News of endpoints.
+    /// Changes of endpoints' health.
     pub endpoints: Vec<endpoint::Step>,
-    /// News of entries.
+    /// Entries that are gone.
     pub members: Vec<member::Step>,
 }
 
 impl Leadership {
-    /// Takes leadership at `now`, with the last binding change at `revision`.
+    /// Creates the state of a term that begins at `now`.
+    ///
+    /// The last binding change is at `revision`.
     #[must_use]
     pub fn new(term: number::Term, now: duration::Instant, revision: number::Revision) -> Self {
         let sample = RevisionSample { at: now, revision };
@@ -113,13 +117,15 @@
         }
     }
 
-    /// The number of this term.
+    /// Returns the number of this term.
     #[must_use]
     pub const fn term(&self) -> number::Term {
         self.term
     }
 
-    /// Notes the revision of the last binding change; called at least once a period.
+    /// Records the revision of the last binding change.
+    ///
+    /// Called at least once per check of the detector.
     pub fn record_revision(&mut self, now: duration::Instant, revision: number::Revision) {
         if self
             .revision_samples
@@ -135,7 +141,7 @@
         }
     }
 
-    /// Notes a heartbeat of an endpoint that an entry passed on.
+    /// Records a heartbeat of an endpoint that an entry passed on.
     pub fn record_heartbeat(&mut self, now: duration::Instant, seen: &view::Seen) {
         let boots = self.endpoints.entry(seen.endpoint.clone()).or_default();
         let before = boots.get(seen.boot);
@@ -149,7 +155,7 @@
         boots.insert(seen.boot, heartbeat);
     }
 
-    /// Notes that an entry was heard and which revision it has; gives no lease.
+    /// Records that an entry was heard and which revision it has, without granting a lease.
     pub fn record_confirmation(&mut self, now: duration::Instant, confirm: &view::Confirm) {
         let confirmation = Confirmation {
             revision: confirm.revision,
@@ -159,7 +165,8 @@
         entry.confirmations.insert(confirm.boot, confirmation);
     }
 
-    /// The entry; one that is new may hold a lease that the leader before this one gave.
+    /// Returns the record of an entry. A new record assumes a lease that the previous leader may
+    /// have granted.
     fn entry_mut(&mut self, instance: &id::Instance) -> &mut Entry {
         let inherited = self.inherited_lease_end();
         let entry = self.entries.entry(instance.clone());
@@ -169,11 +176,11 @@
         })
     }
 
-    /// Takes an entry's confirmation and gives the lease for it.
+    /// Records an entry's confirmation and returns the lease granted for it, zero if none.
     ///
-    /// An entry may follow a control process that was cut off, and still reach
-    /// the leader. It would serve withdrawn keys for as long as it is given
-    /// leases. So an entry whose view is behind by more than [`LAG`] gets none.
+    /// An entry may receive its view from a control process that is cut off and still reach the
+    /// leader. With leases it would go on accepting withdrawn keys, so an entry whose view is
+    /// behind by more than [`MAX_VIEW_LAG`] gets none.
     pub fn grant_lease(
         &mut self,
         now: duration::Instant,
@@ -190,14 +197,14 @@
             lease => now.after(lease).after(CLOCK_DRIFT),
         };
         self.record_confirmation(now, confirm);
-        // A lease that was given before holds on, also for an earlier process, and also
-        // one that the leader before this one gave.
+        // An earlier lease stays valid, also one of an earlier process of the entry or one that the
+        // previous leader granted.
         let entry = self.entry_mut(&confirm.instance);
         entry.lease_end = entry.lease_end.max(end);
         lease
     }
 
-    /// The revision that an entry must have to get a lease.
+    /// Returns the revision that an entry must have to get a lease.
     fn required_revision(&self, now: duration::Instant) -> number::Revision {
         let mut samples = self.revision_samples.iter().rev();
         let sample = samples.find(|sample| sample.at.after(MAX_VIEW_LAG) <= now);
@@ -207,10 +214,10 @@
             .map_or(number::Revision(0), |sample| sample.revision)
     }
 
-    /// Entries that may still serve from a view before `revision`.
+    /// Returns the entries that may still serve from a view older than `revision`.
     ///
-    /// Entries that were not heard in this term may hold a lease of the term
-    /// before, which ends at the latest one lease after this term's start.
+    /// An entry that was not heard in this term may hold a lease of the previous term, which ends
+    /// at most one lease after the start of this term.
     #[must_use]
     pub fn entries_behind(
         &self,
@@ -234,27 +241,27 @@
         let behind = entries.filter(move |(member, boot)| {
             match self.entries.get(&member.instance) {
                 Some(entry) => !entry.has_confirmed(*boot, revision) && now < entry.lease_end,
-                // One that left has no lease of the term before.
+                // An entry that has left holds no lease of the previous term.
                 None => member.phase != view::Phase::Left && now < self.inherited_lease_end(),
             }
         });
         behind.map(|(member, _)| &member.instance)
     }
 
-    /// When the last lease of the term before ends at the latest.
+    /// Returns the latest time at which a lease of the previous term ends.
     fn inherited_lease_end(&self) -> duration::Instant {
         self.start.after(LEASE).after(CLOCK_DRIFT)
     }
 
-    /// Whether the sender of the change at `revision` may be told at `now` that all rely on
-    /// it; notes it if so.
+    /// Returns whether the change at `revision` may be acknowledged at `now`, and records it if so.
     ///
-    /// A change is committed before entries have it. The source of an entry's view may stand
-    /// still at that moment, and the leader too right after its answer: until its lease ends
-    /// the entry goes on by the view of before, and callers see a confirmed change undone. So
-    /// the answer waits until each entry has confirmed the revision, or its lease has at most
-    /// [`LEASE_LEFT`] left, and no older view is given a lease from then on. No other time of
-    /// the protocol is part of that sum; a successor has the change, and requires it.
+    /// An acknowledged change is in force at all entries. A change is committed before entries have
+    /// it. Suppose the control process that feeds an entry's view freezes at that moment, and the
+    /// leader right after its answer: the entry then serves from its older view until its lease
+    /// ends, and callers see an acknowledged change undone. So the answer waits until each entry
+    /// has confirmed the revision or has at most [`MAX_LEASE_LEFT`] of its lease left, and from
+    /// then on no older view is granted a lease. No other timeout of the protocol adds to that
+    /// bound; a successor has the change and requires it too.
     pub fn try_acknowledge(
         &mut self,
         now: duration::Instant,
@@ -273,8 +280,10 @@
         in_force
     }
 
-    /// Drops what is known of endpoints and entries that the fleet has forgotten
-    /// and that were not heard for long, so that names of the past take no room.
+    /// Drops the records of endpoints and entries that the fleet has forgotten.
+    ///
+    /// Only records that were not heard for [`FORGET_AFTER`] are dropped. Old names would use
+    /// memory.
     pub fn prune(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
         self.endpoints.retain(|name, boots| {
             let last = boots.latest();
@@ -288,7 +297,7 @@
         });
     }
 
-    /// What became of endpoints and entries that were not heard.
+    /// Returns the commands for endpoints and entries that fell silent or were heard again.
     #[must_use]
     pub fn check_liveness(&self, now: duration::Instant, fleet: &fleet::Fleet) -> Transitions {
         let silence = fleet.defaults().endpoint_silence;
@@ -354,7 +363,7 @@
         steps
     }
 
-    /// The term for people.
+    /// Returns the term's state as JSON, for operators.
     #[must_use]
     pub fn dump(&self, now: duration::Instant) -> serde_json::Value {
         let entries = self.entries.iter().flat_map(|(instance, entry)| {
@@ -383,13 +392,13 @@
 }
 
 impl Entry {
-    /// Whether the process with this boot said that it has the revision.
+    /// Returns whether the process with this boot confirmed the revision.
     fn has_confirmed(&self, boot: number::Boot, revision: number::Revision) -> bool {
         let confirmation = self.confirmations.get(boot);
         confirmation.is_some_and(|confirmation| confirmation.revision >= revision)
     }
 
-    /// When any of its processes was heard last.
+    /// Returns when any process of this entry was last heard.
     fn last_heard(&self) -> Option<duration::Instant> {
         self.confirmations
             .latest()
--- a/crates/cranberrygap-control/src/lib.rs
+++ b/crates/cranberrygap-control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control process: replicated state served to entries and operators.
+//! The control process: keeps the replicated state and serves it to entries and operators.
 
 pub mod confirmation;
 pub mod delta;
--- a/crates/cranberrygap-control/src/links.rs
+++ b/crates/cranberrygap-control/src/links.rs
@@ -1,4 +1,4 @@
-//! Carries the agreement protocol's messages over authenticated links.
+//! Transport of the agreement protocol over authenticated links.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
@@ -17,30 +17,30 @@
 use crate::replica;
 use crate::transport;
 
-/// Messages that wait for one peer; more are dropped, the protocol resends.
+/// Messages that may wait for one peer; further ones are dropped, and the protocol resends.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Messages under way to one peer.
+/// Messages in flight to one peer.
 const MAX_IN_FLIGHT_MESSAGES: usize = 32;
 
-/// Peers that are remembered; more than a group ever has, also while it changes.
+/// Peers that are remembered; more than a group ever has, also during membership changes.
 const MAX_PEERS: usize = 32;
 
-/// Time after which a message counts as lost. Longer than a full disk queue,
-/// far shorter than what something between the ends takes to forget a flow.
+/// Time after which a message counts as lost. Longer than a full disk queue takes, far shorter than
+/// a middlebox takes to forget a connection.
 const MESSAGE_TIMEOUT: duration::Span = duration::Span::from_secs(2);
 
 /// Pause after a failed connection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// A message as it goes over a link. The text is base64, which JSON carries.
+/// Message as it is sent over a link, encoded as base64 because the link carries JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Packet {
     from: address::Peer,
     message: String,
 }
 
-/// Links to all peers; each is opened when the first message goes over it.
+/// Links to all peers; each is opened for its first message.
 #[derive(Debug)]
 pub struct Links {
     own: address::Peer,
@@ -51,10 +51,10 @@
 }
 
 impl Links {
-    /// Links from `own`; must be used within tokio.
+    /// Creates links from `own`; must be used within tokio.
     ///
-    /// Instances in `known` are reached at the address there, others at the one
-    /// in the group's membership, which is how the founder reaches them.
+    /// An instance in `configured` is reached at the address there, any other at its address in the
+    /// group's membership, which is the one that the founder uses.
     #[must_use]
     pub fn new(
         own: address::Peer,
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Shows another secret from the next connection on.
+    /// Replaces the secret that is presented from the next connection on.
     pub fn replace_secret(&self, secret: credential::Secret) {
         self.secret.replace(secret);
     }
@@ -105,13 +105,13 @@
 impl transport::Transport for Links {
     fn send(&self, peer: &address::Peer, message: Bytes) {
         if let Some(queue) = self.queue_to(&self.resolve(peer)) {
-            // Fails only when the queue is full; the protocol sends again.
+            // Fails if the queue is full; the protocol sends the message again.
             drop(queue.try_send(message));
         }
     }
 }
 
-/// One line; it lives until the process stops.
+/// Link to one peer, which lives until the process stops.
 struct PeerLink {
     links: Weak<Links>,
     own: address::Peer,
@@ -132,7 +132,7 @@
                 Ok(client) => self.send_messages(&client).await,
                 Err(cause) => {
                     spdlog::debug!("agreement: could not connect to {}: {cause}", self.peer);
-                    // What waited is old by now; newer messages stand for it.
+                    // The queued messages are outdated by now; the protocol sends newer ones.
                     while self.receiver.try_recv().is_ok() {}
                 }
             }
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Sends until the connection fails. A call without an answer in time means
-    /// that the connection may be silently dead, so it is given up.
+    /// Sends messages until the connection fails. A call that times out may mean a dead connection,
+    /// so the connection is closed.
     async fn send_messages(&mut self, client: &client::Client) {
         let mut in_flight = FuturesUnordered::new();
         loop {
@@ -172,7 +172,7 @@
     }
 }
 
-/// Takes the messages of other control processes into `replica`.
+/// Registers the method that passes messages of other control processes to `replica`.
 #[must_use]
 pub(crate) fn register(
     builder: server::Builder,
--- a/crates/cranberrygap-control/src/metric.rs
+++ b/crates/cranberrygap-control/src/metric.rs
@@ -1,4 +1,4 @@
-//! Metrics of a control process: how much it does of each kind, and how late it answers.
+//! Metrics of a control process: counts and processor time by kind of work, and response times.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,35 +10,35 @@
 use cranberrygap_wire::method;
 use parking_lot::Mutex;
 
-/// Time between two lines that sum up what was done.
+/// Time between two log lines that summarize the metrics.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Whether the process leads.
 pub const LEADS: &str = "leads";
 /// Commands of the log that were applied.
 pub(crate) const STEPS: &str = "steps";
-/// Frames of the view that were sent.
+/// View frames that were sent.
 pub(crate) const FRAMES: &str = "frames";
-/// Their size.
+/// Size of the view frames that were sent.
 pub(crate) const FRAME_BYTES: &str = "frame_bytes";
-/// Time to answer an entry's confirmation.
+/// Response time of an entry's confirmation.
 pub(crate) const CONFIRM: &str = "confirm";
-/// Time to answer a renewal of shares.
+/// Response time of a share renewal.
 pub(crate) const RENEWAL: &str = "renewal";
-/// Renewals that wait in line.
+/// Share renewals that wait in the queue.
 pub(crate) const RENEWALS_WAITING: &str = "renewals_waiting";
-/// Renewals by what they ask for.
+/// Share renewals by what they ask for.
 pub(crate) const RENEWALS: &str = "renewals";
-/// Processor time that the process spent on a kind of work.
+/// Processor time spent on a kind of work.
 pub(crate) const WORK: &str = "work";
 /// Calls that were answered.
 pub(crate) const CALLS: &str = "calls";
-/// Processor time that reading, answering and writing calls took.
+/// Processor time of reading, answering and writing calls.
 pub(crate) const CALL_WORK: &str = "call_work";
 /// Processor time of the whole process.
 pub(crate) const PROCESSOR: &str = "processor";
 
-/// Methods that are told apart; all others are one.
+/// Methods with a tag of their own; all others share one.
 const TAGGED_METHODS: [&str; 8] = [
     method::VIEW_CONFIRM,
     method::SHARE_RENEW,
@@ -126,22 +126,22 @@
     },
 ];
 
-/// Kinds of work that are measured.
+/// Kinds of work whose processor time is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Work {
-    /// Commands of the log.
+    /// Applying commands of the log.
     Apply,
-    /// Frames of the view.
+    /// Encoding view frames.
     Frame,
     /// Snapshots of the replicated state.
     Snapshot,
     /// Leases of entries.
     Lease,
-    /// Shares of rates.
+    /// Shares of rates and bursts.
     Share,
-    /// Where models and adapters go.
+    /// Placement of models and adapters.
     Placement,
-    /// Silence of entries and endpoints.
+    /// Detection of silent entries and endpoints.
     Silence,
 }
 
@@ -159,14 +159,14 @@
     }
 }
 
-/// Where a control process counts.
+/// Recorder of a control process's metrics.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     client: Arc<StatsdClient>,
     summary: Arc<Mutex<Summary>>,
 }
 
-/// What was counted since the last line.
+/// Values recorded since the last summary.
 #[derive(Debug, Default)]
 struct Summary {
     counts: BTreeMap<(&'static str, &'static str), usize>,
@@ -180,14 +180,14 @@
 }
 
 impl Recorder {
-    /// Counts to `client`.
+    /// Creates a recorder that sends to `client`.
     #[must_use]
     pub fn new(client: Arc<StatsdClient>) -> Self {
         let summary = Arc::default();
         Self { client, summary }
     }
 
-    /// Counts nothing.
+    /// Creates a recorder that sends nothing.
     #[must_use]
     pub fn none() -> Self {
         let sink = cadence::NopMetricSink;
@@ -216,7 +216,7 @@
         let _lost = self.client.time(name, time);
     }
 
-    /// Does `work` and counts its time.
+    /// Runs `work` and records its processor time.
     pub(crate) fn measure<R>(&self, kind: Work, work: impl FnOnce() -> R) -> R {
         let start = processor::thread();
         let result = work();
@@ -225,7 +225,7 @@
         result
     }
 
-    /// Counts a call that was answered and the processor time that it took.
+    /// Records an answered call and its processor time.
     pub(crate) fn record_call(&self, method: &str, spent: Duration) {
         let method = TAGGED_METHODS.iter().find(|known| **known == method);
         let method = method.copied().unwrap_or("other");
@@ -233,7 +233,7 @@
         self.count(CALL_WORK, method, nanos(spent));
     }
 
-    /// Writes a line with what was done, every few seconds until the process stops.
+    /// Logs a summary every [`SUMMARY_PERIOD`] until the process stops.
     pub(crate) async fn log_summaries(self) {
         let mut before = processor::process();
         loop {
--- a/crates/cranberrygap-control/src/operators.rs
+++ b/crates/cranberrygap-control/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a control process.
+//! Operators' methods of a control process.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 
 mod group;
 
-/// Longest name of an author and longest reason, in bytes.
+/// Longest author name and longest reason, in bytes.
 const MAX_AUTHOR_FIELD_BYTES: usize = 1_024;
 
-/// Registers one method whose handler is a function of the desk.
+/// Registers one method for operators with its handler.
 macro_rules! register_method {
     ($builder:expr, $context:expr, $method:expr, $params:ty, $handler:path) => {{
         let context = Arc::clone($context);
@@ -28,7 +28,7 @@
     }};
 }
 
-/// Offers the operators' methods.
+/// Registers the operators' methods.
 pub(crate) fn register(builder: server::Builder, shared: &Arc<process::Shared>) -> server::Builder {
     let context = &shared.context;
     let builder = register_method!(builder, context, method::APPLY, operator::Apply, apply);
@@ -83,8 +83,8 @@
 ) -> Result<operator::Applied, server::Fault> {
     context.proposer.check_leads()?;
     check_author(&apply.author)?;
-    // A resend must get its first answer, also when the fleet has changed so
-    // that the text would be refused today.
+    // A repeated request must get its first answer, even if the fleet has changed so that the text
+    // would be refused today.
     let facts = context.state.read(|fleet| {
         let is_known = fleet.changes.contains(&apply.author.change);
         (!is_known).then(|| fleet.facts())
@@ -173,8 +173,7 @@
     }
 }
 
-/// Reads go to the leader too: a process that was cut off would show what was
-/// changed long ago.
+/// Reads need the leader too, since a process that is cut off would show an old state.
 async fn list_keys(context: &peers::Context, (): ()) -> Result<Vec<view::Key>, server::Fault> {
     context.proposer.check_leads()?;
     Ok(context.state.read(|fleet| fleet.redacted_view().keys))
--- a/crates/cranberrygap-control/src/operators/group.rs
+++ b/crates/cranberrygap-control/src/operators/group.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the fleet and to the replicated group.
+//! Operators' methods for the members of the fleet and of the replicated group.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::process;
 use crate::replica;
 
-/// Time for a learner to catch up before it votes.
+/// Time that a learner has to catch up before it can vote.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two tries to let it vote.
+/// Time between two attempts to promote a learner.
 const PROMOTE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A member of the group as the replica shows it.
+/// Member of the group as the replica's dump shows it.
 #[derive(Debug, Deserialize)]
 struct Member {
     peer: address::Peer,
@@ -54,8 +54,8 @@
     })
 }
 
-/// Adds a control process as a learner, and lets it vote once it has caught up.
-/// Both steps may be repeated, so an operator whose answer was lost asks again.
+/// Adds a control process as a learner and promotes it once it has caught up. Both steps may be
+/// repeated, so an operator whose answer was lost can ask again.
 pub(super) async fn add(
     shared: &process::Shared,
     join: operator::Join,
@@ -122,11 +122,11 @@
     record_change(shared, leave.author, instance, group::Change::Removed).await
 }
 
-/// Notes a change of the group for history and trail.
+/// Records a change of the group for the history and the audit trail.
 ///
-/// A leader may fail between the change and its note. The request that is sent again finds
-/// the work done, and is noted then; one that was noted already is not noted twice, since
-/// its change id is known.
+/// A leader may fail between the change and its record. The repeated request then finds the change
+/// done and records it; a change that is already recorded is not recorded twice, since its change
+/// id is known.
 async fn record_change(
     shared: &process::Shared,
     author: operator::Author,
--- a/crates/cranberrygap-control/src/orders.rs
+++ b/crates/cranberrygap-control/src/orders.rs
@@ -1,7 +1,7 @@
-//! Gives orders to endpoints while this process leads.
+//! Sends load and unload orders to endpoints while this process leads.
 //!
-//! One task owns the executor of the term; reports, answers and commits come
-//! back to it over a channel, so that a slow endpoint delays nobody else.
+//! One task owns the executor of the current term. Reports, answers and commits reach it as events
+//! over a channel, so a slow endpoint delays no other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -23,31 +23,31 @@
 
 pub(crate) use endpoint_client::{EndpointClient, Http};
 
-/// Time between two looks at reports and unanswered orders.
+/// Time between two ticks, which request reports and resend unanswered orders.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Looks from one plan to the next.
+/// Ticks from one planning round to the next.
 const TICKS_PER_PLAN: u64 = 4;
 
-/// Half-life of the demand forecast, by measurement (`docs/EXPERIMENTS.md`).
+/// Half-life of the demand forecast; measured, see `docs/EXPERIMENTS.md`.
 const DEMAND_HALF_LIFE: duration::Span = duration::Span::from_secs(60);
 
-/// Tokens a second of one accelerator within the latency targets, and how many
-/// fewer a runner serves for each GiB of active weights. Both are those of the
-/// bench's engines until engines are measured.
+/// Tokens per second that one accelerator serves within the latency targets. The second constant is
+/// by how many that drops per GiB of active weights. Both come from the simulated engines of the
+/// bench; real engines have not been measured.
 const TOKENS_PER_SECOND_PER_ACCELERATOR: f64 = 600.0;
 const TOKENS_PER_SECOND_LOST_PER_GIB: f64 = 8.0;
 
-/// Time after which an order without proven result is sent again.
+/// Time after which an order without a proven result is sent again.
 const RESEND_AFTER: duration::Span = duration::Span::from_secs(2);
 
-/// Longest time for which a load keeps its slot at the store.
+/// Longest time for which a load occupies its slot at the weight store.
 const LOAD_SLOT_TIMEOUT: duration::Span = duration::Span::from_secs(60);
 
-/// Things that may wait for the task.
+/// Events that may wait for the task.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Demand that entries counted, and the leader's dump.
+/// Handle to the task that sends orders, with the demand estimate and the latest dump.
 #[derive(Debug)]
 pub(crate) struct Coordinator {
     state: Arc<replicated::State>,
@@ -58,11 +58,12 @@
     last_dump: Mutex<serde_json::Value>,
 }
 
-/// One leader's term.
+/// State of one leader's term.
 #[derive(Debug)]
 struct TermState {
     fence: number::Fence,
-    /// Tells it from another one in the same term, whose questions count anew.
+    /// Start of this state. It tells two states of the same term apart, since report requests of an
+    /// earlier one are stale.
     start: duration::Instant,
     executor: orders::Executor,
     listed_models: Vec<endpoint::Weights>,
@@ -70,11 +71,11 @@
     ticks: u64,
 }
 
-/// News for the task, of the term with this start.
+/// Event for the task. The instant is the start of the term state that the event belongs to.
 #[derive(Debug)]
 enum Event {
     Input(duration::Instant, orders::Input),
-    /// Whether a proposal was committed is not known.
+    /// It is not known whether a proposal was committed.
     OutcomeUnknown(duration::Instant),
 }
 
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Counts demand that an entry reports.
+    /// Records demand that an entry reports.
     pub(crate) fn record_demand(&self, demands: &[view::Demand]) {
         let now = self.clock.now();
         let mut estimator = self.demand.lock();
@@ -105,12 +106,12 @@
         }
     }
 
-    /// The ledger for people.
+    /// Returns the ledger as JSON, for operators.
     pub(crate) fn dump(&self) -> serde_json::Value {
         self.last_dump.lock().clone()
     }
 
-    /// Gives orders until the process stops.
+    /// Sends orders until the process stops.
     pub(crate) async fn run(self: Arc<Self>) {
         let (events, mut receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
         let mut ticker = tokio::time::interval(TICK_INTERVAL);
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Keeps, takes or leaves leadership, as this process leads or does not.
+    /// Returns the state of the current term, or `None` if this process does not lead.
     async fn enter_term(&self, current: Option<TermState>) -> Option<TermState> {
         let status = self.proposer.status();
         if !status.leads {
@@ -144,8 +145,8 @@
         if let Some(term) = current.filter(|term| term.fence == fence) {
             return Some(term);
         }
-        // Once this record is committed, everything that predecessors logged is
-        // in the state, and what they propose from now on is not taken.
+        // Once this record is committed, the state contains everything that earlier leaders logged,
+        // and rejects what they propose later.
         let opened = command::Command::Order(journal::Record::Opened { fence });
         if let Err(fault) = self.proposer.propose(opened).await {
             spdlog::warn!("orders: could not take leadership: {}", fault.message);
@@ -187,8 +188,8 @@
                 }
             }
             Event::OutcomeUnknown(start) => {
-                // It may be committed yet, or not. Starting leadership anew reads
-                // from the log what became of it.
+                // The proposal may still be committed. A new term state reads the result from the
+                // log.
                 current.take_if(|term| term.start == start);
             }
         }
@@ -255,7 +256,7 @@
                 }
                 (Err(_), _) => Event::OutcomeUnknown(start),
             };
-            // The task ends only with the process.
+            // The receiver lives as long as the process.
             drop(events.send(event).await);
         });
     }
@@ -279,7 +280,7 @@
                     let event = Event::Input(start, orders::Input::Answered(verdict));
                     drop(events.send(event).await);
                 }
-                // It may have arrived all the same; it is sent again.
+                // The order may have arrived; it is sent again.
                 Err(cause) => spdlog::warn!("orders: no answer to {}: {cause}", order.order),
             }
         });
@@ -302,7 +303,7 @@
         let start = term.start;
         let name = name.clone();
         tokio::spawn(async move {
-            // Silence is noticed by the endpoint's heartbeats.
+            // An endpoint that is down is noticed by its missing heartbeats.
             let Ok(report) = endpoint_client.fetch_report(address).await else {
                 return;
             };
@@ -320,7 +321,7 @@
 }
 
 impl TermState {
-    /// Takes over what the state says of endpoints and the store.
+    /// Updates the ledger and the catalogue from the replicated state.
     fn update_from_state(&mut self, fleet: &fleet::Fleet) {
         let ledger = self.executor.ledger_mut();
         let mut names: BTreeSet<id::Endpoint> = BTreeSet::new();
--- a/crates/cranberrygap-control/src/orders/endpoint_client.rs
+++ b/crates/cranberrygap-control/src/orders/endpoint_client.rs
@@ -1,4 +1,6 @@
-//! How endpoints take orders and report; another platform is another adapter.
+//! Client for endpoints: sends orders and fetches reports.
+//!
+//! Another protocol needs another implementation.
 
 use std::time::Duration;
 
@@ -6,14 +8,14 @@
 use cranberrygap_wire::endpoint;
 use futures_util::future::BoxFuture;
 
-/// Longest time for one call. An endpoint that is silent for longer is asked
-/// again, and the answer to the abandoned question is not used.
+/// Timeout of one call. An endpoint that takes longer is asked again, and its late answer is
+/// ignored.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer that is taken, in bytes; thousands of resident models fit.
+/// Largest response that is read, in bytes; a report of thousands of resident models fits.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Why an endpoint did not answer.
+/// Reason why a call to an endpoint failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error(transparent)]
@@ -24,38 +26,38 @@
     TooLarge,
 }
 
-/// Endpoints as a leader reaches them.
+/// Client through which the leader calls endpoints.
 pub(crate) trait EndpointClient: Send + Sync + std::fmt::Debug {
-    /// Sends an order. The endpoint must run each id at most once, and give
-    /// the first verdict again when the same order comes again.
+    /// Sends an order. The endpoint must execute each order id at most once, and repeat its first
+    /// verdict when it receives the same order again.
     fn send_order<'a>(
         &'a self,
         address: address::Socket,
         order: &'a endpoint::Order,
     ) -> BoxFuture<'a, Result<endpoint::Verdict, Error>>;
 
-    /// Asks for a report that is made after the question came.
+    /// Fetches a report that the endpoint makes after it received the request.
     fn fetch_report(
         &self,
         address: address::Socket,
     ) -> BoxFuture<'_, Result<endpoint::Report, Error>>;
 }
 
-/// Endpoints that speak HTTP and JSON.
+/// Client for endpoints that speak HTTP and JSON.
 #[derive(Debug)]
 pub(crate) struct Http {
     client: reqwest::Client,
 }
 
 impl Http {
-    /// An adapter with its own connections.
+    /// Creates a client with its own connections.
     ///
     /// # Errors
     ///
-    /// When the client cannot be set up.
+    /// When the HTTP client cannot be set up.
     pub(crate) fn new() -> Result<Self, reqwest::Error> {
-        // Fresh connections: a pooled one may be silently dead, and an order
-        // would be lost without a word.
+        // A pooled connection may be dead without notice, and an order sent over it would be lost
+        // without an error, so each call opens a new one.
         let client = reqwest::Client::builder()
             .timeout(CALL_TIMEOUT)
             .pool_max_idle_per_host(0)
@@ -83,7 +85,7 @@
         address: address::Socket,
     ) -> BoxFuture<'_, Result<endpoint::Report, Error>> {
         Box::pin(async move {
-            // No cache event is younger than this, so none is sent along.
+            // No cache event is newer than this, so the report contains none.
             let since = u64::MAX;
             let url = format!("http://{address}/report?since={since}");
             let response = self.client.get(url).send().await?;
--- a/crates/cranberrygap-control/src/peers.rs
+++ b/crates/cranberrygap-control/src/peers.rs
@@ -1,4 +1,4 @@
-//! What entries ask of a control process.
+//! Entries' methods of a control process.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,13 +22,13 @@
 use crate::subscription;
 use crate::throttle;
 
-/// Time of an answer from which on it is said: a quarter of the lease.
+/// Response time above which an answer is logged as slow: a quarter of the lease.
 const SLOW_ANSWER: Duration = Duration::from_micros(leadership::LEASE.0 / 4);
 
-/// Time between two lines about late answers.
+/// Time between two log lines about slow answers.
 const SLOW_ANSWER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the handlers work with.
+/// Everything that the method handlers share.
 #[derive(Debug)]
 pub(crate) struct Context {
     pub(crate) state: Arc<replicated::State>,
@@ -40,18 +40,18 @@
     pub(crate) orders: Arc<orders::Coordinator>,
     pub(crate) residency: Arc<residency::Coordinator>,
     pub(crate) metrics: metric::Recorder,
-    /// Entries that were sent elsewhere for their view.
+    /// Subscribers that were redirected to other control processes.
     pub(crate) redirects: Mutex<redirect::Redirects>,
-    /// Lines about late answers.
+    /// Rate limit of log lines about slow answers.
     pub(crate) slow_answer_log: throttle::Throttle,
 }
 
-/// Lines about late answers, one in [`LATE_LINES`].
+/// Creates a rate limit of one line per [`SLOW_ANSWER_LOG_INTERVAL`].
 pub(crate) const fn slow_answer_log() -> throttle::Throttle {
     throttle::Throttle::new(SLOW_ANSWER_LOG_INTERVAL)
 }
 
-/// Offers the entries' methods.
+/// Registers the entries' methods.
 pub(crate) fn register(builder: server::Builder, context: &Arc<Context>) -> server::Builder {
     let role = credential::Role::Fleet;
     let builder = {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Answers a confirmation, and says when that took long.
+    /// Answers a confirmation, and logs if that was slow.
     async fn handle_confirmation(
         &self,
         confirm: view::Confirm,
--- a/crates/cranberrygap-control/src/permission.rs
+++ b/crates/cranberrygap-control/src/permission.rs
@@ -1,4 +1,4 @@
-//! Gives suspects leave to run while this process leads.
+//! Permits suspect requests to run while this process leads.
 
 use cranberrygap_link::clock;
 use cranberrygap_link::server;
@@ -9,7 +9,7 @@
 
 use crate::proposer;
 
-/// Who runs as a suspect on each endpoint, in the current term.
+/// Table of the suspects that may run on each endpoint, for the current term.
 #[derive(Debug)]
 pub(crate) struct Permissions {
     proposer: proposer::Proposer,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Gives, renews or ends a leave; true when the suspect may run.
+    /// Grants, renews or ends a permission; returns whether the suspect may run.
     pub(crate) fn handle(&self, request: &claim::Leave) -> Result<bool, server::Fault> {
         let term = self.proposer.check_leads()?.term;
         let now = self.clock.now();
--- a/crates/cranberrygap-control/src/process.rs
+++ b/crates/cranberrygap-control/src/process.rs
@@ -1,4 +1,4 @@
-//! A whole control process: start, dump, planned stop.
+//! Control process: start, dump and planned stop.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -27,17 +27,18 @@
 use crate::store;
 use crate::transport;
 
-/// Secrets that a control process needs, already read.
+/// Secrets of a control process, already read.
 #[derive(Debug, Clone)]
 pub struct Secrets {
-    /// Shared by the system's processes; the first is shown to others, any is
-    /// taken from them.
+    /// Secrets shared by the fleet's processes.
+    ///
+    /// The first is presented to others, any is accepted from them.
     pub fleet: Vec<credential::Secret>,
     /// Tokens of operators.
     pub operators: Vec<credential::Secret>,
 }
 
-/// Why a control process did not start.
+/// Reason why a control process did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The replica could not be started.
@@ -52,12 +53,12 @@
     /// The client for endpoints could not be set up.
     #[error("cannot set up the client for endpoints: {0}")]
     Endpoints(String),
-    /// There is no fleet secret.
+    /// No fleet secret was given.
     #[error("no fleet secret was given")]
     NoSecret,
 }
 
-/// What the listeners share.
+/// State that the listeners share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     settings: settings::Control,
@@ -92,7 +93,7 @@
         .await
     }
 
-    /// Starts a control process that orders models through `runners` and counts to `metrics`.
+    /// Starts a control process that sends orders through `runners` and its metrics to `metrics`.
     ///
     /// # Errors
     ///
@@ -137,31 +138,33 @@
         })
     }
 
-    /// Where entries and other control processes connect.
+    /// Returns the address that entries and other control processes connect to.
     #[must_use]
     pub const fn peers_address(&self) -> address::Socket {
         self.peers.address()
     }
 
-    /// Where operators connect.
+    /// Returns the address that operators connect to.
     #[must_use]
     pub const fn admin_address(&self) -> address::Socket {
         self.admin.address()
     }
 
-    /// What a translator of operators' and endpoints' calls works with.
+    /// Returns the interface for adapters of other protocols.
+    ///
+    /// They serve operators' and endpoints' calls.
     #[must_use]
     pub fn public_api(&self) -> public::Api {
         public::Api::new(Arc::clone(&self.shared.context))
     }
 
-    /// Whether this process leads.
+    /// Returns whether this process leads.
     #[must_use]
     pub fn leads(&self) -> bool {
         self.shared.context.proposer.status().leads
     }
 
-    /// Changes the secrets while the process runs.
+    /// Replaces the secrets while the process runs.
     pub fn replace_secrets(&self, secrets: Secrets) {
         if let Some(secret) = secrets.fleet.first() {
             self.links.replace_secret(secret.clone());
@@ -172,19 +175,20 @@
         self.admin.replace_secrets(operator, secrets.operators);
     }
 
-    /// The whole state as JSON, without secrets.
+    /// Returns the whole state as JSON, without secrets.
     pub async fn dump(&self) -> serde_json::Value {
         self.shared.dump().await
     }
 
-    /// Why the replica stopped taking part, if it did.
+    /// Returns why the replica stopped taking part in the protocol, if it did.
     #[must_use]
     pub fn failure(&self) -> Option<String> {
         self.shared.replica.failure()
     }
 
-    /// Stops as planned: hands leadership over first, so that no change and no
-    /// lease waits for an election.
+    /// Stops as planned.
+    ///
+    /// Leadership is transferred first, so that no change and no lease has to wait for an election.
     pub async fn stop(self) {
         if self.leads() {
             match self.shared.replica.transfer_leadership().await {
@@ -265,8 +269,8 @@
             tokio::spawn(Arc::clone(&self.context.shares).run()),
             tokio::spawn(self.context.metrics.clone().log_summaries()),
         ];
-        // Runners are moved either by the traffic plan or by the store's list; the
-        // public listener brings the former.
+        // Runners are moved either by the traffic plan, which arrives at the public listener, or by
+        // the store's list.
         if self.settings.listen.public.is_some() {
             tasks.push(tokio::spawn(Arc::clone(&self.context.residency).run()));
         } else {
@@ -291,7 +295,7 @@
         Ok(tasks)
     }
 
-    /// The whole state as JSON, without secrets.
+    /// Returns the whole state as JSON, without secrets.
     pub(crate) async fn dump(&self) -> serde_json::Value {
         let status = self.context.proposer.status();
         let leadership = self
@@ -317,13 +321,14 @@
     }
 }
 
-/// Puts the group's own port into the addresses of its members, and leaves out of
-/// the founders who must not found.
+/// Completes the settings of the group.
 ///
-/// Where only the public addresses of control processes are told, the port between
-/// them is the same everywhere. A process that starts with an empty folder after
-/// the fleet's first start has lost its disk, or is new: were it a founder, three
-/// such could found a second group beside one that holds what was accepted.
+/// Sets the group's port in the voters' addresses: where only public addresses of control processes
+/// are configured, the port between them is the same everywhere.
+///
+/// A process that is not in the fleet's first start joins instead of founding. If its folder is
+/// empty, it has lost its disk or is new. If it were a founder, three of them could found a second
+/// group beside one that holds accepted changes.
 fn complete_settings(settings: &mut settings::Control) {
     let port = u16::try_from(settings.listen.port).unwrap_or_default();
     if port != 0 {
@@ -336,8 +341,10 @@
     }
 }
 
-/// This process as the others reach it: by the address in the list of voters,
-/// which may differ from where it listens, or else by where it listens.
+/// Returns this process as others reach it.
+///
+/// That is its address in the list of voters, which may differ from the address it listens on, or
+/// else the latter.
 fn own_peer(settings: &settings::Control) -> address::Peer {
     let instance = &settings.control.instance;
     let voters = &settings.group.voters;
--- a/crates/cranberrygap-control/src/proposer.rs
+++ b/crates/cranberrygap-control/src/proposer.rs
@@ -1,4 +1,4 @@
-//! Puts commands into the log and turns what comes back into answers.
+//! Proposes commands to the log and decodes their answers.
 
 use std::sync::Arc;
 
@@ -12,26 +12,26 @@
 use crate::log;
 use crate::replicated;
 
-/// Proposes commands in the name of this process.
+/// Proposer of commands by this process.
 #[derive(Debug, Clone)]
 pub struct Proposer {
     log: Arc<dyn log::Log>,
 }
 
 impl Proposer {
-    /// A proposer for `log`.
+    /// Creates a proposer for `log`.
     #[must_use]
     pub fn new(log: Arc<dyn log::Log>) -> Self {
         Self { log }
     }
 
-    /// What is known of the group.
+    /// Returns the group's status as this process knows it.
     #[must_use]
     pub fn status(&self) -> log::Status {
         self.log.status()
     }
 
-    /// Refuses unless this process leads at this moment.
+    /// Fails unless this process leads at this moment.
     ///
     /// # Errors
     ///
@@ -44,7 +44,7 @@
         Err(not_leader(status.leader.as_ref()))
     }
 
-    /// Commits a command and gives the state's answer.
+    /// Commits a command and returns the state's answer.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
     server::Fault::new(method::NOT_LEADER, message).with_data(data)
 }
 
-/// A fault for an answer that does not belong to its command.
+/// Returns the fault for an answer that does not belong to its command.
 #[must_use]
 pub fn unexpected_answer_fault(answer: &answer::Answer) -> server::Fault {
     let message = format!("the state returned an unexpected answer: {answer:?}");
--- a/crates/cranberrygap-control/src/public.rs
+++ b/crates/cranberrygap-control/src/public.rs
@@ -1,6 +1,6 @@
-//! Operators' and endpoints' calls, free of any form in which they arrive.
+//! Operators' and endpoints' calls, independent of the protocol they arrive in.
 //!
-//! A translator reads a call of its own form, asks here, and writes the answer.
+//! An adapter parses a call of its own protocol, uses this interface, and writes the response.
 
 use std::sync::Arc;
 
@@ -12,24 +12,24 @@
 
 use crate::peers;
 
-/// Why a call was not carried out here.
+/// Reason why a call was not carried out here.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// Another process leads; the call may be repeated there.
     #[error("{leader} leads")]
     NotLeader {
-        /// The leader, as the group's members reach it.
+        /// Leader, at the address that the group's members use.
         leader: address::Peer,
     },
-    /// Nobody is known to lead, or whether the change commits is not known.
+    /// No leader is known, or it is not known whether the change commits.
     #[error("{0}")]
     Unavailable(SmolStr),
-    /// The call is wrong, and would be wrong elsewhere.
+    /// The call is invalid, at any process.
     #[error("{0}")]
     Invalid(SmolStr),
 }
 
-/// What a translator works with.
+/// Interface of a control process for adapters of other protocols.
 #[derive(Debug, Clone)]
 pub struct Api {
     context: Arc<peers::Context>,
@@ -40,12 +40,12 @@
         Self { context }
     }
 
-    /// Puts a traffic plan into force; one that is not higher changes nothing. Done once all
-    /// may rely on it.
+    /// Applies a traffic plan and waits until it is in force at all entries. A plan whose version
+    /// is not higher than the current one changes nothing.
     ///
     /// # Errors
     ///
-    /// A mistake in the plan, or this process cannot commit it.
+    /// The plan has an error, or this process cannot commit it.
     pub async fn replace_plan(&self, plan: traffic::Plan, source: SmolStr) -> Result<(), Refusal> {
         if let Some(error) = state::check(&plan).first() {
             return Err(Refusal::Invalid(SmolStr::new(error.to_string())));
@@ -53,7 +53,7 @@
         let version = plan.version;
         let current_version = self.read_as_leader(|fleet| fleet.traffic.version())?;
         if current_version >= Some(version) {
-            // Committed already, or overtaken by a higher one.
+            // The plan is already committed, or replaced by one with a higher version.
             return self.wait_until_in_force().await;
         }
         let step = state::Step { plan, source };
@@ -64,28 +64,28 @@
         self.wait_until_in_force().await
     }
 
-    /// Waits until all may rely on what is committed now.
+    /// Waits until everything committed by now is in force at all entries.
     async fn wait_until_in_force(&self) -> Result<(), Refusal> {
         let in_force = self.context.detector.wait_until_in_force().await;
         in_force.ok_or_else(|| Refusal::Unavailable("the leader's lease expired".into()))
     }
 
-    /// The text of the plan in force; `None` before the first.
+    /// Returns the text of the plan in force; `None` before the first one.
     ///
     /// # Errors
     ///
-    /// When this process cannot be sure that it knows the newest.
+    /// When this process cannot be sure that it knows the newest plan.
     pub fn plan_source(&self) -> Result<Option<SmolStr>, Refusal> {
         let source = self.read_as_leader(|fleet| {
             let current = fleet.traffic.version();
             current.map(|_version| fleet.traffic.source().clone())
         })?;
-        // The lease may have ended while this process stood still.
+        // The lease may have ended while this process was suspended.
         self.check_leads()?;
         Ok(source)
     }
 
-    /// Takes an endpoint's announcement; done once all may rely on it.
+    /// Records an endpoint's announcement, and returns once it is in force at all entries.
     ///
     /// # Errors
     ///
@@ -108,17 +108,17 @@
             .with_leadership(|now, leadership| leadership.record_heartbeat(now, &seen));
         recorded.ok_or_else(|| Refusal::Unavailable("the leader's lease expired".into()))?;
         if leaves {
-            // Told that it may go while an entry still sends it work, it would end with
-            // requests of callers in its queue.
+            // An endpoint that is told it may stop while an entry still sends it requests would
+            // stop with requests in its queue.
             self.wait_until_in_force().await?;
         }
         Ok(())
     }
 
-    /// An endpoint says that it leaves for good.
+    /// Removes an endpoint that announces that it leaves for good.
     ///
-    /// `started` is its start, where it tells it: a process of the same name that
-    /// started later is not meant.
+    /// `boot` is its start, if it tells it: a process of the same name that started later is not
+    /// removed.
     ///
     /// # Errors
     ///
@@ -140,7 +140,7 @@
         self.wait_until_in_force().await
     }
 
-    /// This process, if it leads, else who does.
+    /// Fails unless this process leads.
     ///
     /// # Errors
     ///
@@ -165,7 +165,7 @@
     }
 }
 
-/// Whether an announcement says more than that its sender lives.
+/// Returns whether an announcement changes anything besides the sequence number.
 fn is_changed(
     fleet: &cranberrygap_state::fleet::Fleet,
     announcement: &announced::Announcement,
--- a/crates/cranberrygap-control/src/reconciler.rs
+++ b/crates/cranberrygap-control/src/reconciler.rs
@@ -1,4 +1,4 @@
-//! Keeps the group in shape while this process leads, where settings ask for it.
+//! Reconciles the group's membership while this process leads, if the settings ask for it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,10 +13,13 @@
 use crate::replica;
 use crate::replicated;
 
-/// Time between two looks; a small part of the patience with silent voters.
+/// Time between two reconciliations; a small part of the silence that replaces a voter.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Takes newcomers in, lets ready learners vote and takes out who is gone.
+/// Reconciler of the group's membership.
+///
+/// It adds newcomers as learners, promotes learners that have caught up, and removes members that
+/// are gone.
 #[derive(Debug)]
 pub(crate) struct Reconciler {
     state: Arc<replicated::State>,
@@ -25,8 +28,8 @@
     domain: id::Domain,
     policy: reconciler::Policy,
     learner_lag: u64,
-    /// When each member was first seen in this term. One that was just
-    /// added has not answered yet and is not silent for that.
+    /// When each member was first seen in this term. A member that was just added has not answered
+    /// yet and does not count as silent.
     first_seen: BTreeMap<agreed::Id, duration::Instant>,
 }
 
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Looks after the group until the process stops.
+    /// Reconciles the membership until the process stops.
     pub(crate) async fn run(mut self) {
         loop {
             tokio::time::sleep(RECONCILE_INTERVAL).await;
@@ -77,7 +80,7 @@
             let description = format!("{change:?}");
             match self.replica.change_membership(change).await {
                 Ok(()) => spdlog::info!("group: {description} is in force"),
-                // It is looked at again; most refusals end by themselves.
+                // The next reconciliation tries again; most refusals are temporary.
                 Err(cause) => spdlog::info!("group: {description} is deferred: {cause}"),
             }
             return;
@@ -97,10 +100,10 @@
         )
     }
 
-    /// Tells entries, by the replicated state, where the control processes are.
+    /// Commits the addresses of the control processes, for entries.
     ///
-    /// Their settings name the first ones. Once all of those are replaced, an entry
-    /// that lost its connection would find nobody.
+    /// The entries' settings name the first control processes only. Once all of those are replaced,
+    /// an entry that lost its connection could reach none.
     async fn publish_members(&self, status: &replica::GroupStatus) {
         let members = status.members.0.iter();
         let current: Vec<(view::Member, number::Boot)> = members
@@ -153,8 +156,8 @@
     }
 }
 
-/// A replica's id stands for the boot: it changes only with the data folder. Boots
-/// stay below 2^53, so that every JSON reader keeps them exactly.
+/// Returns the boot that stands for a replica's id, which changes only with the data folder. It
+/// stays below 2^53, so that every JSON reader keeps it exactly.
 const fn boot_of(id: agreed::Id) -> number::Boot {
     const BOOT_SHIFT: u32 = 11;
     number::Boot(id.0 >> BOOT_SHIFT)
--- a/crates/cranberrygap-control/src/redirect.rs
+++ b/crates/cranberrygap-control/src/redirect.rs
@@ -1,27 +1,29 @@
-//! Who may follow the view from a process that leads.
+//! Redirects subscribers of the view from the leader to other control processes.
 
 use std::collections::BTreeMap;
 
 use cranberrygap_model::{duration, id};
 
-/// Time within which whoever was sent elsewhere and comes back has found nobody else.
+/// Time within which a subscriber that comes back counts as having found no other process.
 const RETURN_WINDOW: duration::Span = duration::Span::from_secs(5);
 
-/// Other control processes beside a leader that serve views in its place.
+/// Other control processes that must exist before a leader redirects subscribers to them.
 const MIN_OTHER_CONTROLS: usize = 2;
 
-/// Those whom the leader has sent elsewhere.
+/// Subscribers that the leader redirected recently.
 ///
-/// Any control process can serve a view, and only the leader can grant leases and shares, so
-/// its processor is kept for those.
+/// Any control process can serve a view, but only the leader can grant leases and shares, so its
+/// processor time is kept for those.
 #[derive(Debug, Default)]
 pub struct Redirects {
     redirected_at: BTreeMap<id::Instance, duration::Instant>,
 }
 
 impl Redirects {
-    /// Whether the leader serves the view to `instance`, beside so many other control
-    /// processes: it does once the others turned out not to.
+    /// Returns whether the leader should serve the view to `instance`.
+    ///
+    /// It does if there are too few other control processes, or if the instance comes back after a
+    /// redirect.
     pub fn should_serve(
         &mut self,
         now: duration::Instant,
@@ -41,7 +43,7 @@
     }
 }
 
-/// Whether a leader may send its followers elsewhere, beside so many others.
+/// Returns whether a leader may redirect subscribers, given the number of other control processes.
 #[must_use]
 pub const fn is_allowed(other_controls: usize) -> bool {
     other_controls >= MIN_OTHER_CONTROLS
--- a/crates/cranberrygap-control/src/replica.rs
+++ b/crates/cranberrygap-control/src/replica.rs
@@ -1,8 +1,7 @@
-//! One replica of the log: the agreement protocol with disk, network and clock.
+//! Replica of the log: runs the agreement protocol on a disk, a network and a clock.
 //!
-//! [`Replica`] is a handle; the protocol runs in a task, the disk in a thread.
-//! All proposals and messages that arrive while a sync is under way go into the
-//! next one (group commit).
+//! [`Replica`] is a handle; the protocol runs in a task, disk writes in a thread. All proposals and
+//! messages that arrive during a sync go into the next one (group commit).
 
 mod directory;
 mod dump;
@@ -33,15 +32,15 @@
 
 use crate::{log, state_machine, transport};
 
-/// Requests that may wait for the protocol's task. Messages beyond it are
-/// dropped, which the protocol repairs; proposals wait.
+/// Requests that may wait for the protocol's task. Further messages are dropped, which the protocol
+/// tolerates; further proposals wait.
 const MAX_QUEUED_REQUESTS: usize = 8_192;
 
-/// How long a proposal waits for its commit. A leader without quorum steps down
-/// much earlier; this bounds the wait behind a disk that hangs.
+/// Longest time that a proposal waits for its commit. A leader without quorum steps down much
+/// earlier; this bounds the wait for a disk that hangs.
 const COMMIT_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// A handle on the replica that runs in this process.
+/// Handle to the replica that runs in this process.
 #[derive(Debug)]
 pub struct Replica {
     requests: mpsc::Sender<request::Request>,
@@ -51,12 +50,12 @@
 }
 
 impl Replica {
-    /// Opens the folder and starts the protocol; must be called within tokio.
+    /// Opens the data folder and starts the protocol; must be called within tokio.
     ///
     /// # Errors
     ///
-    /// The folder is damaged, belongs to another instance, is in use, or holds a
-    /// snapshot that the state machine does not take.
+    /// The folder is damaged, belongs to another instance, is in use, or holds a snapshot that the
+    /// state machine rejects.
     pub fn start(
         settings: Settings,
         state_machine: Arc<dyn state_machine::StateMachine>,
@@ -66,7 +65,7 @@
         Self::start_with_files(Box::new(disk), settings, state_machine, transport)
     }
 
-    /// Starts the protocol on files that need not be in a real folder.
+    /// Starts the protocol on any implementation of [`files::Files`].
     ///
     /// # Errors
     ///
@@ -111,19 +110,19 @@
         }))
     }
 
-    /// Takes a message that another control process sent; `from` is the sender.
+    /// Passes a message from the control process `from` to the protocol.
     ///
-    /// A message is dropped if too many wait; the protocol sends it again.
+    /// The message is dropped if too many wait; the protocol sends it again.
     pub fn deliver(&self, from: &address::Peer, message: Bytes) {
         let from = from.clone();
         let request = request::Request::Deliver { from, message };
-        // The only failures are a full or a closed inbox; both mean dropping.
+        // Sending fails only if the queue is full or closed; in both cases the message is dropped.
         drop(self.requests.try_send(request));
     }
 
-    /// Hands leadership to another voter, for a planned stop.
+    /// Transfers leadership to another voter, for a planned stop.
     ///
-    /// Returns when this replica does not lead any more.
+    /// Returns once this replica no longer leads.
     ///
     /// # Errors
     ///
@@ -132,37 +131,37 @@
         self.send_request(request::Request::Transfer).await
     }
 
-    /// Adds a replica that presented itself as a learner.
+    /// Adds a replica that has presented itself, as a learner.
     ///
     /// # Errors
     ///
-    /// Refused, not the leader, or the outcome is not known.
+    /// The change is refused, this replica does not lead, or the outcome is not known.
     pub async fn add_learner(&self, instance: &id::Instance) -> Result<(), Error> {
         self.change_by_instance(request::Change::AddLearner, instance)
             .await
     }
 
-    /// Makes a learner that has caught up a voter.
+    /// Promotes a learner that has caught up to a voter.
     ///
     /// # Errors
     ///
-    /// Refused, not the leader, or the outcome is not known.
+    /// The change is refused, this replica does not lead, or the outcome is not known.
     pub async fn promote(&self, instance: &id::Instance) -> Result<(), Error> {
         self.change_by_instance(request::Change::Promote, instance)
             .await
     }
 
-    /// Takes a voter out, or a learner if no voter has this name.
+    /// Removes the voter of this instance, or its learner if it has no voter.
     ///
     /// # Errors
     ///
-    /// Refused, not the leader, or the outcome is not known.
+    /// The change is refused, this replica does not lead, or the outcome is not known.
     pub async fn remove_member(&self, instance: &id::Instance) -> Result<(), Error> {
         self.change_by_instance(request::Change::Remove, instance)
             .await
     }
 
-    /// Who belongs to the group and who presents itself, if this replica leads.
+    /// Returns the group's members and newcomers if this replica leads.
     pub async fn group_status(&self) -> Option<GroupStatus> {
         let (reply, response) = oneshot::channel();
         let request = request::Request::GroupStatus(reply);
@@ -174,27 +173,27 @@
     ///
     /// # Errors
     ///
-    /// Refused, not the leader, or the outcome is not known.
+    /// The change is refused, this replica does not lead, or the outcome is not known.
     pub async fn change_membership(&self, change: change::Change) -> Result<(), Error> {
         self.send_request(|reply| request::Request::ChangeById(change, reply))
             .await
     }
 
-    /// The replica's whole state.
+    /// Returns the replica's state as JSON.
     pub async fn dump(&self) -> serde_json::Value {
         let (reply, response) = oneshot::channel();
         drop(self.requests.send(request::Request::Dump(reply)).await);
         response.await.unwrap_or(serde_json::Value::Null)
     }
 
-    /// Stops the protocol; what is durable stays.
+    /// Stops the protocol; everything durable stays on disk.
     pub async fn stop(&self) {
         let (reply, response) = oneshot::channel();
         drop(self.requests.send(request::Request::Stop(reply)).await);
         drop(response.await);
     }
 
-    /// Why the replica stopped taking part, if it did.
+    /// Returns why the replica stopped taking part in the protocol, if it did.
     #[must_use]
     pub fn failure(&self) -> Option<String> {
         self.published.read().failure.clone()
@@ -250,8 +249,8 @@
     }
 
     fn status(&self) -> log::Status {
-        // The lease is compared with the clock at this very moment, so that a
-        // process that slept does not take itself for the leader.
+        // The lease is compared with the clock on each call, so a process that was suspended does
+        // not consider itself the leader.
         self.published.read().status(self.clock.now())
     }
 }
--- a/crates/cranberrygap-control/src/replica/directory.rs
+++ b/crates/cranberrygap-control/src/replica/directory.rs
@@ -1,4 +1,4 @@
-//! Forming or finding the group before the protocol can run.
+//! Directory of replicas that presented themselves or sent messages.
 
 use std::collections::BTreeMap;
 use std::time;
@@ -6,20 +6,20 @@
 use cranberrygap_agreement::{formation, packet, reconciler, replica};
 use cranberrygap_model::{address, duration, id};
 
-/// Time between two presentations of a replica without a group. Short, since a
-/// new group serves nobody before it is formed.
+/// Time between two presentations of a replica without a group. Short, since a new group serves no
+/// requests before it is formed.
 pub(super) const PRESENT_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Time between two presentations of a replica that is not a member yet. Until it is a voter
-/// again the group bears one loss less, and the first leader after a loss of power may have
-/// been elected just after the last one.
+/// Time between two presentations of a replica that is not a member yet. Until it is a voter again,
+/// the group tolerates one loss less, and the first leader after a power loss may have been elected
+/// just after the last presentation.
 pub(super) const LEARNER_PRESENT_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// Replicas that are remembered without being members; bounds what strangers
-/// can make this process keep.
+/// Replicas that are remembered without being members. Bounds the memory that unknown senders can
+/// fill.
 const MAX_UNKNOWN_REPLICAS: usize = 64;
 
-/// Replicas that presented themselves or sent something, and their addresses.
+/// Replicas that presented themselves or sent messages, with their addresses.
 #[derive(Debug, Default)]
 pub(super) struct Directory {
     addresses: BTreeMap<replica::Id, address::Peer>,
@@ -27,14 +27,14 @@
 }
 
 impl Directory {
-    /// Remembers where a replica can be reached.
+    /// Records where a replica can be reached.
     pub(super) fn record_address(&mut self, id: replica::Id, peer: &address::Peer) {
         if self.addresses.len() < MAX_UNKNOWN_REPLICAS || self.addresses.contains_key(&id) {
             self.addresses.insert(id, peer.clone());
         }
     }
 
-    /// Remembers a replica that presented itself.
+    /// Records that a replica presented itself.
     pub(super) fn record_hello(&mut self, hello: formation::Hello) {
         let instance = hello.peer.instance.clone();
         if self.hellos.len() < MAX_UNKNOWN_REPLICAS || self.hellos.contains_key(&instance) {
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Forgets that a replica presented itself, when it is taken out.
+    /// Removes the presentation of a replica that is removed from the group.
     ///
-    /// A founder that presented itself while the group was formed may lose its
-    /// disk. Added under its name before its new replica was heard, the dead one
-    /// would come into the group as a learner that never catches up.
+    /// A founder that presented itself while the group was formed may lose its disk. If its
+    /// instance were added again before the new replica was heard, the dead replica would join as a
+    /// learner that never catches up.
     pub(super) fn remove_hello(&mut self, id: replica::Id) {
         self.hellos.retain(|_, (hello, _)| hello.id != id);
     }
@@ -59,7 +59,7 @@
         self.hellos.get(instance).map(|(hello, _)| hello)
     }
 
-    /// Who presented itself, and how long ago.
+    /// Returns the replicas that presented themselves, and how long ago.
     pub(super) fn newcomers(&self) -> Vec<reconciler::Newcomer> {
         let hellos = self.hellos.values();
         let newcomers = hellos.map(|(hello, at)| {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Who a packet's sender says it is.
+/// Returns the replica id that a packet's sender claims.
 pub(super) fn sender_id(packet: &packet::Packet) -> Option<replica::Id> {
     match packet {
         packet::Packet::Hello(hello) => Some(hello.id),
--- a/crates/cranberrygap-control/src/replica/dump.rs
+++ b/crates/cranberrygap-control/src/replica/dump.rs
@@ -1,10 +1,10 @@
-//! The replica's state as JSON.
+//! JSON of the replica's state, for dumps.
 
 use cranberrygap_agreement::{node, progress};
 use cranberrygap_model::duration;
 use serde_json::{Value, json};
 
-/// State of a running node.
+/// Returns the state of a running node.
 pub(super) fn dump_node(node: &node::Node, now: duration::Instant) -> Value {
     let followers: serde_json::Map<String, Value> = node
         .progress()
--- a/crates/cranberrygap-control/src/replica/group_status.rs
+++ b/crates/cranberrygap-control/src/replica/group_status.rs
@@ -1,23 +1,23 @@
-//! What a leader knows of the group.
+//! Status of the group as its leader knows it.
 
 use std::collections::BTreeMap;
 
 use cranberrygap_agreement::{members, progress, reconciler, replica};
 use cranberrygap_model::{duration, number};
 
-/// Who belongs to the group, how far each has come, and who presents itself.
+/// Members of the group, their progress, and newcomers.
 #[derive(Debug, Clone)]
 pub struct GroupStatus {
-    /// The leader, which is this replica.
+    /// Replica id of the leader, which is this replica.
     pub leader: replica::Id,
-    /// The time by which `progress` is counted.
+    /// Time that the instants in `progress` are compared with.
     pub now: duration::Instant,
-    /// End of the log.
+    /// Last index of the log.
     pub last_index: number::Index,
-    /// The membership.
+    /// Members of the group.
     pub members: members::Members,
-    /// What is known of each other member.
+    /// Replication progress of each other member.
     pub progress: BTreeMap<replica::Id, progress::Progress>,
-    /// Who presented itself.
+    /// Replicas that presented themselves.
     pub newcomers: Vec<reconciler::Newcomer>,
 }
--- a/crates/cranberrygap-control/src/replica/published.rs
+++ b/crates/cranberrygap-control/src/replica/published.rs
@@ -1,30 +1,28 @@
-//! What the handle may read without asking the task.
+//! Status that the handle reads without asking the task.
 
 use cranberrygap_model::{address, duration, number};
 
 use crate::log;
 
-/// State of the replica as last published by its task.
+/// Status of the replica as its task last published it.
 #[derive(Debug, Default)]
 pub(super) struct Published {
     pub(super) term: number::Term,
     pub(super) leader: Option<address::Peer>,
-    /// Whether that is this replica.
+    /// Whether `leader` is this replica.
     pub(super) leader_is_self: bool,
     pub(super) committed: number::Index,
     pub(super) applied: number::Index,
-    /// End of the lease, if this replica leads and has applied an entry of its
-    /// own term.
+    /// End of the lease, if this replica leads and has applied an entry of its own term.
     pub(super) lease_end: Option<duration::Instant>,
     pub(super) failure: Option<String>,
 }
 
 impl Published {
-    /// Where the replica stands at `now`.
+    /// Returns the status at `now`.
     ///
-    /// While it leads but may not grant yet, or not any more, there is no leader to go to.
-    /// Told the name of the process that they just asked, callers would ask it again and
-    /// again without a pause.
+    /// While this replica leads without being able to grant, no leader is named. Callers that are
+    /// told the name of the process they just asked would ask it again and again without a pause.
     pub(super) fn status(&self, now: duration::Instant) -> log::Status {
         let leads = self.lease_end.is_some_and(|end| now < end);
         let leader = self
--- a/crates/cranberrygap-control/src/replica/request.rs
+++ b/crates/cranberrygap-control/src/replica/request.rs
@@ -1,4 +1,4 @@
-//! What the handle asks the protocol's task.
+//! Requests from the handle to the protocol's task.
 
 use bytes::Bytes;
 use cranberrygap_agreement::change;
@@ -8,13 +8,13 @@
 use super::Error;
 use crate::log;
 
-/// Answer to a proposal.
+/// Reply channel of a proposal.
 pub(super) type ProposalReply = oneshot::Sender<Result<log::Committed, log::Error>>;
 
-/// Answer to anything else that may be refused.
+/// Reply channel of any other request that may be refused.
 pub(super) type Reply = oneshot::Sender<Result<(), Error>>;
 
-/// A change of the membership by instance name.
+/// Membership change by instance name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Change {
     AddLearner,
@@ -22,7 +22,7 @@
     Remove,
 }
 
-/// One request.
+/// Request to the task.
 #[derive(Debug)]
 pub(super) enum Request {
     Deliver {
--- a/crates/cranberrygap-control/src/replica/task.rs
+++ b/crates/cranberrygap-control/src/replica/task.rs
@@ -1,4 +1,4 @@
-//! The protocol's task.
+//! Task that runs the agreement protocol.
 
 mod forming;
 mod membership;
@@ -19,18 +19,18 @@
 use super::{Settings, directory, published, request, waiters, writer};
 use crate::{state_machine, transport};
 
-/// Requests taken before outputs are carried out; more proposals share a sync.
+/// Requests handled before the outputs are executed; proposals among them share a sync.
 const MAX_REQUESTS_PER_STEP: usize = 512;
 
-/// Entries that wait to be applied beyond which it is said; the changes of a moment stay
+/// Committed entries waiting to be applied above which the backlog is logged. Ordinary load stays
 /// below.
 const BACKLOG_LOG_THRESHOLD: u64 = 64;
 
-/// Bytes of entries for each byte of a snapshot, so that writing snapshots stays a small
-/// part of writing the log.
+/// Bytes of log entries that are written for each byte of a snapshot. Snapshots thus stay a small
+/// part of what is written.
 const LOG_BYTES_PER_SNAPSHOT_BYTE: u64 = 4;
 
-/// What the task is built from.
+/// Everything the task is created from.
 pub(super) struct Environment {
     pub(super) settings: Settings,
     pub(super) state_machine: Arc<dyn state_machine::StateMachine>,
@@ -41,19 +41,19 @@
     pub(super) seed: u64,
 }
 
-/// How far the replica has come.
+/// Stage of the replica's life.
 enum Phase {
-    /// It has no group yet.
+    /// The replica has no group yet.
     Forming(formation::Formation),
-    /// The group is being made durable.
+    /// The group is being written to disk.
     Joining(Box<node::Node>),
-    /// It takes part.
+    /// The replica takes part in the protocol.
     Running(Box<node::Node>),
-    /// A write failed; it takes no part any more.
+    /// A write failed; the replica no longer takes part.
     Failed,
 }
 
-/// State of the task.
+/// State of the protocol's task.
 pub(super) struct Task {
     environment: Environment,
     id: replica::Id,
@@ -65,13 +65,13 @@
     proposals: Vec<(Bytes, request::ProposalReply)>,
     last_presented: time::Instant,
     was_leader: bool,
-    /// Committed entries that wait to be applied, as last looked at.
+    /// Committed entries that waited to be applied at the last check.
     backlog: u64,
-    /// Whether it was said that many wait.
+    /// Whether a long backlog was logged and has not ended yet.
     backlog_logged: bool,
     /// Bytes of entries applied since the last snapshot.
     applied_bytes: u64,
-    /// Size of the last snapshot that was taken here, in bytes.
+    /// Size of the last snapshot taken or restored here, in bytes.
     snapshot_bytes: u64,
 }
 
@@ -153,14 +153,14 @@
             self.publish_status();
             self.update_backlog();
             if self.backlog > 0 {
-                // What was sent goes out on other tasks of this thread, and they must
-                // have their turn between two parts of a long log.
+                // Other tasks of this thread send the messages, and must get their turn between two
+                // parts of a long backlog.
                 tokio::task::yield_now().await;
             }
         }
     }
 
-    /// Takes a request and all that wait behind it; false to stop.
+    /// Handles a request and those queued behind it; returns whether the task goes on.
     fn handle_requests(
         &mut self,
         first: request::Request,
@@ -198,7 +198,7 @@
             request::Request::Dump(reply) => drop(reply.send(self.dump())),
             request::Request::Stop(reply) => {
                 self.waiters.fail_all();
-                // Nobody may wait any more.
+                // Fails if the caller no longer waits.
                 let _closed = reply.send(());
                 return false;
             }
@@ -220,9 +220,9 @@
         }
     }
 
-    /// When the process's clock shows `due`.
+    /// Converts an instant of the process's clock.
     fn to_std_instant(&self, due: duration::Instant) -> time::Instant {
-        // An instant that far ahead means never; a day is as good.
+        // An instant further ahead means never, for which a day is long enough.
         let max_wait = time::Duration::from_hours(24);
         let ahead = due.since(self.environment.clock.now());
         time::Instant::now() + ahead.to_std().min(max_wait)
@@ -235,7 +235,7 @@
         self.step(input::Input::Tick);
     }
 
-    /// Says once that many entries wait to be applied, and once that none does any more.
+    /// Logs the backlog of committed entries once when it gets long and once when it has ended.
     fn update_backlog(&mut self) {
         self.backlog = match &self.phase {
             Phase::Running(node) => node.backlog(),
@@ -270,7 +270,7 @@
             output::Output::Apply(entries) => self.apply(entries),
             output::Output::Restore(snapshot) => self.restore(&snapshot),
             output::Output::VoteEvent(event) => spdlog::info!("agreement: {event}"),
-            // Both are read by the callers that expect them.
+            // Callers that expect these outputs read them themselves.
             output::Output::Accepted(_) | output::Output::Refused(_) => {}
         }
     }
@@ -337,9 +337,9 @@
         let index = node.applied();
         let entries_since = index.0.saturating_sub(node.snapshot_position().index.0);
         let settings = &self.environment.settings;
-        // A whole plan is an entry of tens of kilobytes that replaces the one before; by
-        // their number alone hundreds of them would be read and applied at each start. A
-        // snapshot costs what it holds, so a large one is taken less often.
+        // A traffic plan is one entry of tens of kilobytes that replaces the previous one. Counting
+        // entries alone would leave hundreds of plans to read and apply at each start. Writing a
+        // snapshot costs time by its size, so a large one is taken less often.
         let threshold = settings
             .snapshot_bytes
             .max(self.snapshot_bytes * LOG_BYTES_PER_SNAPSHOT_BYTE);
@@ -373,11 +373,11 @@
         }
     }
 
-    /// Ends this replica's part in the protocol.
+    /// Stops this replica's part in the protocol.
     ///
-    /// After a failed write or sync nothing more may be acknowledged: one would
-    /// see an accepted change gone after a restart. Silent, it looks dead to the
-    /// others, and they elect another leader.
+    /// After a failed write or sync nothing more may be acknowledged, since an accepted change
+    /// could be gone after a restart. The other replicas take the silent one for dead and elect a
+    /// leader among themselves.
     fn fail(&mut self, cause: &str) {
         spdlog::critical!("storage: {cause}");
         spdlog::critical!(
--- a/crates/cranberrygap-control/src/replica/task/forming.rs
+++ b/crates/cranberrygap-control/src/replica/task/forming.rs
@@ -1,4 +1,4 @@
-//! Forming or finding the group, and what the handle may read.
+//! Forming or joining the group, and the status published to the handle.
 
 use std::time;
 
@@ -9,14 +9,14 @@
 use super::{Phase, Task};
 use crate::replica::{dump, random, writer};
 
-/// What a replica says of itself.
+/// Returns the message with which a replica presents itself.
 pub(super) fn new_hello(id: replica::Id, peer: &address::Peer) -> formation::Hello {
     let peer = peer.clone();
     formation::Hello { id, peer }
 }
 
 impl Task {
-    /// Presents this replica to the voters if it is no member of a group.
+    /// Presents this replica to the voters unless it is a member of a group.
     pub(super) fn present(&mut self) {
         self.last_presented = time::Instant::now();
         let is_member = match &self.phase {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Forms the group if this replica is the one to do it.
+    /// Forms the group if this replica is its founder.
     pub(super) fn try_form_group(&mut self) {
         let Phase::Forming(formation) = &self.phase else {
             return;
@@ -50,7 +50,7 @@
         self.handle_outcome(outcome);
     }
 
-    /// Takes what a replica without a group says of itself.
+    /// Handles the message with which a replica presents itself.
     pub(super) fn handle_hello(&mut self, from: &address::Peer, hello: formation::Hello) {
         if let Phase::Forming(formation) = &mut self.phase {
             formation.receive_hello(&hello);
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Tells the leader of a replica that presents itself here.
+    /// Forwards a newcomer's message to the leader.
     ///
-    /// A replica knows the processes that its settings name, and the leader, who alone can
-    /// take it in, need not be one of them.
+    /// A replica presents itself to the processes named in its settings. Only the leader can add it
+    /// to the group, and that may be another process.
     fn forward_hello(&self, hello: &formation::Hello) {
         let Phase::Running(node) = &self.phase else {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes what a replica with a group says of it.
+    /// Handles the description of a group from a replica that belongs to it.
     pub(super) fn handle_formed(&mut self, formed: &formation::Formed) {
         if let Phase::Forming(formation) = &self.phase {
             let outcome = formation.receive_formed(formed);
@@ -149,7 +149,7 @@
         self.write(writer::Job::Join(formed, Some(first)));
     }
 
-    /// The group is durable; takes part from now on.
+    /// Starts taking part in the protocol once the group is durable.
     pub(super) fn finish_join(&mut self) {
         match std::mem::replace(&mut self.phase, Phase::Failed) {
             Phase::Joining(node) => self.phase = Phase::Running(node),
@@ -158,7 +158,7 @@
         self.step(input::Input::Tick);
     }
 
-    /// Shows the handle where the replica stands.
+    /// Publishes the replica's status for the handle.
     pub(super) fn publish_status(&mut self) {
         let Phase::Running(node) = &self.phase else {
             self.environment.published.write().lease_end = None;
--- a/crates/cranberrygap-control/src/replica/task/membership.rs
+++ b/crates/cranberrygap-control/src/replica/task/membership.rs
@@ -1,4 +1,4 @@
-//! Proposals, changes of the membership and hand-over, asked of the node.
+//! Proposals, membership changes and leadership transfer, submitted to the node.
 
 use cranberrygap_agreement::{change, input, output, position, replica};
 use cranberrygap_model::{address, id};
@@ -8,7 +8,7 @@
 use crate::replica::{Error, group_status, request};
 
 impl Task {
-    /// Gives the node an input that it takes or refuses.
+    /// Passes an input to the node that it accepts or refuses, and returns which.
     pub(super) fn submit(
         &mut self,
         input: input::Input,
@@ -81,7 +81,7 @@
         outcome.map_err(|refusal| self.to_error(refusal))
     }
 
-    /// Carries out a change that names replicas, not instances.
+    /// Proposes a membership change that names replicas, not instances.
     pub(super) fn change_by_id(&mut self, change: change::Change, reply: request::Reply) {
         spdlog::info!("agreement: {change:?} is proposed");
         if let change::Change::Remove(id) = change {
@@ -94,7 +94,7 @@
         self.after_step();
     }
 
-    /// What a leader knows of the members and of who would be one.
+    /// Returns the group's members and newcomers if this replica leads.
     pub(super) fn group_status(&self) -> Option<group_status::GroupStatus> {
         let Phase::Running(node) = &self.phase else {
             return None;
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Finds the replica that is meant by an instance's name.
+    /// Finds the replica that a change by instance name refers to.
     fn resolve_change(
         &self,
         requested: request::Change,
@@ -149,10 +149,10 @@
         }
     }
 
-    /// The member of that name that answered longest ago, voters first.
+    /// Returns the member of this instance that answered longest ago, voters first.
     ///
-    /// An instance that came back after the loss of its disk has two replicas in
-    /// the group for a time. Taking the new one out would leave the dead one.
+    /// An instance that came back after losing its disk has two replicas in the group for a time.
+    /// Removing the new one would leave the dead one.
     fn longest_silent_member(&self, instance: &id::Instance) -> Option<replica::Id> {
         let Phase::Running(node) = &self.phase else {
             return None;
@@ -177,11 +177,11 @@
         self.after_step();
     }
 
-    /// Name and address of a member, or of a replica that was heard.
+    /// Returns the name and address of a member, or of another replica that was heard.
     ///
-    /// A founder is reached by the address in this process's own settings: the
-    /// membership holds the one by which another founder reaches it. A later
-    /// member may be newer than the settings.
+    /// A founder is reached by the address in this process's own settings, because the membership
+    /// holds the address by which another founder reaches it. A later member may be missing in the
+    /// settings.
     pub(super) fn peer_of(&self, id: replica::Id) -> Option<address::Peer> {
         let founder = self.formed.as_ref()?.founders.0.get(&id);
         let listed = founder.and_then(|member| {
--- a/crates/cranberrygap-control/src/replica/waiters.rs
+++ b/crates/cranberrygap-control/src/replica/waiters.rs
@@ -1,4 +1,4 @@
-//! Proposals that wait for their commit.
+//! Callers that wait for the commit of an entry.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use super::request;
 use crate::log;
 
-/// Who is told when an entry commits.
+/// Caller that is answered when an entry commits.
 #[derive(Debug)]
 enum Waiter {
     Proposal(request::ProposalReply),
     Change(request::Reply),
 }
 
-/// Waiters by the index that their entry got.
+/// Waiters by the index of their entry.
 #[derive(Debug, Default)]
 pub(super) struct Waiters(BTreeMap<number::Index, (number::Term, Waiter)>);
 
@@ -35,7 +35,7 @@
             .insert(position.index, (position.term, Waiter::Change(reply)));
     }
 
-    /// Tells who waits for the entry at `at`.
+    /// Answers the caller that waits for the entry at `at`.
     pub(super) fn complete(&mut self, position: position::Position, answer: &Bytes) {
         let Some((term, waiter)) = self.0.remove(&position.index) else {
             return;
@@ -54,11 +54,10 @@
         }
     }
 
-    /// Tells all that the outcome is not known.
+    /// Answers all callers that the outcome is not known.
     ///
-    /// A leader that lost its leadership cannot tell whether its successor commits
-    /// what it proposed. The callers are told at once, so that they can ask the
-    /// successor.
+    /// A leader that lost its leadership cannot tell whether its successor commits what it
+    /// proposed. An immediate answer lets the callers ask the successor.
     pub(super) fn fail_all(&mut self) {
         let waiting = std::mem::take(&mut self.0);
         for (_, waiter) in waiting.into_values() {
--- a/crates/cranberrygap-control/src/replica/writer.rs
+++ b/crates/cranberrygap-control/src/replica/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the data folder.
+//! Thread that writes to the data folder.
 
 use std::sync::mpsc;
 use std::thread;
@@ -9,16 +9,15 @@
 
 use super::Error;
 
-/// What the thread is asked to make durable.
+/// Data to make durable.
 #[derive(Debug)]
 pub(super) enum Job {
     Write(write::Write),
-    /// The group that this replica belongs to, and the first entry if it is one
-    /// of the founders.
+    /// The group that this replica belongs to, and the first entry if it is one of the founders.
     Join(formation::Formed, Option<write::Write>),
 }
 
-/// What has become durable.
+/// Result of a job.
 #[derive(Debug)]
 pub(super) enum Done {
     Written {
@@ -29,10 +28,10 @@
     Failed(error::Error),
 }
 
-/// Writes that go into one sync at most; bounds the memory of a batch.
+/// Most writes in one sync; bounds the memory of a batch.
 const MAX_WRITES_PER_SYNC: usize = 1_024;
 
-/// Starts the thread; it ends when the sender is dropped or a write fails.
+/// Starts the thread, which ends when the sender is dropped or a write fails.
 pub(super) fn start(
     mut folder: folder::Folder,
 ) -> Result<(mpsc::Sender<Job>, channel::UnboundedReceiver<Done>), Error> {
--- a/crates/cranberrygap-control/src/replicated.rs
+++ b/crates/cranberrygap-control/src/replicated.rs
@@ -1,4 +1,4 @@
-//! The replicated state of this process, and news of it for subscribers.
+//! Replicated state of this process, and its updates for subscribers.
 
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
 use crate::metric;
 use crate::state_machine;
 
-/// News that a slow subscriber may be behind before it gets a new snapshot.
+/// Updates that a slow subscriber may be behind before it gets a new snapshot.
 const MAX_BUFFERED_UPDATES: usize = 1_024;
 
-/// News of the state.
+/// Update of the state.
 #[derive(Debug, Clone)]
 pub enum Update {
-    /// These changes lead to a revision.
+    /// Changes that lead to a revision.
     Changed(number::Revision, Arc<Vec<Arc<encoded::Change>>>),
-    /// The whole state was replaced by a leader's snapshot.
+    /// The state was replaced by a leader's snapshot.
     Replaced,
 }
 
-/// The state, applied up to what this process knows to be committed.
+/// State machine with the state up to the last entry that this process knows to be committed.
 #[derive(Debug)]
 pub struct State {
     fleet: RwLock<fleet::Fleet>,
@@ -34,7 +34,7 @@
 }
 
 impl State {
-    /// An empty state.
+    /// Creates an empty state.
     #[must_use]
     pub fn new(metrics: metric::Recorder) -> Self {
         Self {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Reads the state; short work only, since nothing is applied meanwhile.
+    /// Calls `work` with the state; `work` must be short, since no entry is applied meanwhile.
     pub fn read<R>(&self, work: impl FnOnce(&fleet::Fleet) -> R) -> R {
         work(&self.fleet.read())
     }
 
-    /// The whole view and everything that comes after it.
+    /// Returns a snapshot of the view and a receiver of all later updates.
     #[must_use]
     pub fn subscribe(&self) -> (view::Frame, broadcast::Receiver<Update>) {
         let fleet = self.fleet.read();
@@ -62,7 +62,7 @@
         (frame, update)
     }
 
-    /// Number of control processes beside one.
+    /// Returns the number of control processes besides one.
     #[must_use]
     pub fn other_controls(&self) -> usize {
         let fleet = self.fleet.read();
@@ -73,19 +73,19 @@
         controls.count().saturating_sub(1)
     }
 
-    /// Number of subscribers.
+    /// Returns the number of subscribers.
     #[must_use]
     pub fn subscribers(&self) -> usize {
         self.updates.receiver_count()
     }
 
-    /// Revision of the last change that entries must have in force to get a lease.
+    /// Returns the revision of the last change that an entry must have to get a lease.
     #[must_use]
     pub fn binding_revision(&self) -> number::Revision {
         self.fleet.read().binding_revision
     }
 
-    /// Revision of the last change that entries learn of.
+    /// Returns the revision of the last change of the view.
     #[must_use]
     pub fn view_revision(&self) -> number::Revision {
         self.fleet.read().view_revision
@@ -131,21 +131,21 @@
                         .into_iter()
                         .map(|change| Arc::new(encoded::Change::new(change)));
                     let update = Update::Changed(fleet.view_revision, Arc::new(changes.collect()));
-                    // Sent under the lock, so that no subscriber misses it. Fails
-                    // only while there is no subscriber.
+                    // The update is sent under the lock, so that no subscriber misses it. Sending
+                    // fails only if there are no subscribers.
                     drop(self.updates.send(update));
                 }
                 answer
             }
-            // A replica of an older version does not know the command. Leaving it
-            // out would make the replicas differ, without anybody noticing.
+            // A replica of an older version does not know the command. If it skipped the command,
+            // the replicas would diverge unnoticed.
             Err(cause) => panic!("the log holds a command that this version cannot read: {cause}"),
         };
         Bytes::from(serde_json::to_vec(&answer).expect("answers have text keys only"))
     }
 }
 
-/// Reads the answer of [`state_machine::StateMachine::apply`].
+/// Decodes the answer of [`state_machine::StateMachine::apply`].
 ///
 /// # Panics
 ///
--- a/crates/cranberrygap-control/src/residency.rs
+++ b/crates/cranberrygap-control/src/residency.rs
@@ -1,7 +1,7 @@
-//! Moves models and adapters between runners while this process leads.
+//! Loads and unloads models and adapters on runners while this process leads.
 //!
-//! One task owns the book of the term; reports, answers and wishes of entries come
-//! to it over a channel, so that a slow runner delays nobody else.
+//! One task owns the planners of the current term. Reports, answers to orders and requests of
+//! entries reach it as events over a channel, so a slow runner delays no other.
 
 mod demand;
 mod term;
@@ -24,30 +24,31 @@
 use crate::proposer;
 use crate::replicated;
 
-/// Time between two looks.
+/// Longest time between two planning steps.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// News that may wait for the task.
+/// Events that may wait for the task.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Longest wait of an entry for an adapter; the book answers earlier.
+/// Longest time that an entry's request for an adapter waits; the planner normally answers earlier.
 const ADAPTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a runner did not answer.
+/// Reason why a call to a runner failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The call did not come through; whether an order was taken is not known.
+    /// The call failed; the runner may or may not have accepted an order.
     #[error("no answer: {0}")]
     NoAnswer(SmolStr),
-    /// The answer cannot be read.
+    /// The response cannot be parsed.
     #[error("invalid response: {0}")]
     Malformed(SmolStr),
 }
 
-/// Runners as a leader reaches them; another form of their calls is another
-/// translator.
+/// Client through which the leader calls runners.
+///
+/// Each protocol that runners speak has its own implementation.
 pub trait RunnerClient: Send + Sync + std::fmt::Debug {
-    /// Sends an order under the leader's name and fencing token.
+    /// Sends an order with the leader's name and fencing token.
     fn send_order<'call>(
         &'call self,
         holder: &'call id::Instance,
@@ -55,7 +56,7 @@
         order: &'call order::Order,
     ) -> BoxFuture<'call, Result<order::Verdict, Error>>;
 
-    /// Asks a runner what it holds.
+    /// Asks a runner which models and adapters it holds.
     fn fetch_report<'call>(
         &'call self,
         address: address::Socket,
@@ -63,7 +64,7 @@
     ) -> BoxFuture<'call, Result<order::Report, Error>>;
 }
 
-/// Runners that nobody can reach, for fleets without such.
+/// Returns a client that fails every call, for fleets without runners.
 #[must_use]
 pub fn no_runners() -> Arc<dyn RunnerClient> {
     Arc::new(NoRunnerClient)
@@ -99,7 +100,7 @@
     }
 }
 
-/// Demand and wishes of the entries, and the leader's dump.
+/// Handle to the task that moves models and adapters, and its shared state.
 #[derive(Debug)]
 pub(crate) struct Coordinator {
     state: Arc<replicated::State>,
@@ -114,7 +115,8 @@
     metrics: metric::Recorder,
 }
 
-/// News for the task, of the term with this start.
+/// Event for the task. A leading [`duration::Instant`] is the start of the term that the event
+/// belongs to.
 #[derive(Debug)]
 enum Event {
     Dump(oneshot::Sender<serde_json::Value>),
@@ -155,24 +157,25 @@
         }
     }
 
-    /// Counts demand that an entry reports.
+    /// Records demand that an entry reports.
     pub(crate) fn record_demand(&self, demands: &[view::Demand]) {
         self.demand.lock().record(self.clock.now(), demands);
     }
 
-    /// The books for people.
+    /// Returns the planners' state as JSON, for operators.
     pub(crate) async fn dump(&self) -> serde_json::Value {
         if self.event_receiver.lock().is_some() {
-            // The task was not started: nothing is moved by the traffic plan.
+            // The task was not started, so the traffic plan moves no models and there is nothing to
+            // show.
             return serde_json::Value::Null;
         }
         let (reply, response) = oneshot::channel();
-        // A task that has ended keeps no books.
+        // Sending fails only if the task has ended; the reply below then fails too.
         drop(self.events.send(Event::Dump(reply)).await);
         response.await.unwrap_or(serde_json::Value::Null)
     }
 
-    /// Finds or fetches an adapter for an entry.
+    /// Finds a runner with the adapter for an entry, or has it loaded.
     pub(crate) async fn request_adapter(
         &self,
         want: traffic::Want,
@@ -193,7 +196,7 @@
         Ok(traffic::Placed { endpoint })
     }
 
-    /// Moves models and adapters until the process stops.
+    /// Runs the task until the process stops.
     pub(crate) async fn run(self: Arc<Self>) {
         let Some(mut receiver) = self.event_receiver.lock().take() else {
             return;
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Time until somebody who waits can be answered.
+    /// Returns the time until the first request for an adapter is due for an answer.
     fn time_to_wake(&self, current: Option<&term::State>) -> Duration {
         let planners = current.into_iter().flat_map(|term| term.planners.values());
         let next_wake = planners.filter_map(planner::Planner::next_wake).min();
@@ -243,7 +246,7 @@
         Some(current.unwrap_or_else(|| term::State::new(status.term, self.clock.now())))
     }
 
-    /// Takes over plan, endpoints and demand.
+    /// Updates the planners from the replicated plan and endpoints and from the demand estimate.
     fn update_planners(&self, term: &mut term::State) {
         let now = self.clock.now();
         let (demand, used_adapters) = {
@@ -267,12 +270,12 @@
     fn handle(&self, current: &mut Option<term::State>, event: Event) {
         let now = self.clock.now();
         if let Event::Dump(reply) = event {
-            // Whoever asked may have gone.
+            // Fails if the caller no longer waits.
             drop(reply.send(dump_planners(current.as_ref())));
             return;
         }
         let Some(term) = current else {
-            // Who waits is told by the end of its channel.
+            // Dropping the event closes its reply channel, which ends the wait of the sender.
             return;
         };
         let start = term.start;
@@ -306,7 +309,7 @@
                     planner.confirm_residency(now, &residency);
                 });
             }
-            // Of an earlier term.
+            // Events of an earlier term are stale.
             _ => {}
         }
     }
@@ -345,7 +348,7 @@
         match output {
             planner::Output::ResolveAdapter(ticket, endpoint) => {
                 if let Some(reply) = term.adapter_requests.remove(&ticket) {
-                    // An entry that has gone needs no answer.
+                    // Fails if the entry no longer waits.
                     drop(reply.send(endpoint));
                 }
             }
@@ -374,7 +377,8 @@
                             .await,
                     );
                 }
-                // Asked again; silence is noticed by the runner's heartbeats.
+                // The planner asks again; a runner that is down is noticed by its missing
+                // heartbeats.
                 Err(cause) => spdlog::info!("residency: no report from {name}: {cause}"),
             }
         });
@@ -395,14 +399,15 @@
         let fence = number::Fence(term.number.0);
         let proposer = self.proposer.clone();
         tokio::spawn(async move {
-            // The process may have slept since the order was made out.
+            // The process may have been suspended after the order was created.
             if proposer.check_leads().is_err() {
                 return;
             }
             let (name, number) = (order.endpoint.clone(), order.number);
             let event = match runner_client.send_order(&leader, fence, &order).await {
                 Ok(verdict) => {
-                    // An adapter whose drop is not done with its answer keeps its place.
+                    // An adapter stays counted until its unload is finished, which may be after the
+                    // answer, so every answer to such an order is logged.
                     let unloads_adapter = matches!(order.action, order::Action::UnloadAdapter(..));
                     if verdict != order::Verdict::Accepted || unloads_adapter {
                         spdlog::info!("residency: {name} answers {verdict:?} to {}", order.action);
@@ -421,7 +426,9 @@
         });
     }
 
-    /// Tells all entries what a runner is about to drop and which adapters it has.
+    /// Commits which model a runner is about to unload and which adapters it holds.
+    ///
+    /// Entries learn of both by the replicated state.
     fn publish_residency(&self, term: &term::State, service: id::Service, name: &id::Endpoint) {
         let runner = term
             .planners
@@ -451,7 +458,8 @@
                         .send(Event::ResidencyCommitted(start, service, residency))
                         .await,
                 ),
-                // Without it nothing is dropped; the next change tells all anew.
+                // Nothing is unloaded before this is committed; the next change of the runner tries
+                // again.
                 Err(fault) => spdlog::info!(
                     "residency: could not commit the residency of a runner: {}",
                     fault.message
--- a/crates/cranberrygap-control/src/residency/demand.rs
+++ b/crates/cranberrygap-control/src/residency/demand.rs
@@ -1,4 +1,4 @@
-//! What callers ask of each model, as the entries report it.
+//! Demand for each model, estimated from the entries' reports.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use cranberrygap_wire::view;
 use smol_str::SmolStr;
 
-/// Half-life of the demand that asks for copies. Demand moves to other models
-/// within about six seconds; a slower estimate would see it when it has moved.
+/// Half-life of the estimate for adding copies of a model. Demand moves to other models within
+/// about six seconds; a slower estimate would follow only after it has moved.
 const RISE_HALF_LIFE: duration::Span = duration::Span::from_millis(1_500);
 
-/// Half-life of the demand that keeps copies. A model that pauses for a few
-/// seconds keeps its copies; a load costs as much as a lost request.
+/// Half-life of the estimate for keeping copies. A model that has no requests for a few seconds
+/// keeps its copies, since loading it again costs as much as a lost request.
 const FALL_HALF_LIFE: duration::Span = duration::Span::from_secs(6);
 
-/// Demand by model, and the adapters used of late.
+/// Demand estimate for each model, and the adapters used recently.
 #[derive(Debug)]
 pub(super) struct Estimate {
     rising: forecast::decayed::Decayed,
@@ -24,7 +24,7 @@
 }
 
 impl Estimate {
-    /// None yet.
+    /// Returns an estimate without any demand.
     pub(super) fn new() -> Self {
         Self {
             rising: forecast::decayed::Decayed::new(RISE_HALF_LIFE),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Counts demand that an entry reports.
+    /// Records demand that an entry reports.
     pub(super) fn record(&mut self, now: duration::Instant, demands: &[view::Demand]) {
         for demand in demands {
             if let Some((model, adapter)) = demand.model.as_str().split_once('/') {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Rises are taken from the quick estimate and falls from the slow one.
+    /// Returns the demand for each model: the higher of the fast and the slow estimate.
     pub(super) fn rates(&self, now: duration::Instant) -> BTreeMap<id::Model, f64> {
         let mut rates = forecast::Estimator::rates(&self.falling, now);
         for (model, rate) in forecast::Estimator::rates(&self.rising, now) {
@@ -58,7 +58,7 @@
         rates
     }
 
-    /// Adapters used since the last look.
+    /// Returns the adapters used since the last call.
     pub(super) fn take_used_adapters(&mut self) -> Vec<(id::Model, SmolStr)> {
         std::mem::take(&mut self.used_adapters)
     }
--- a/crates/cranberrygap-control/src/residency/term.rs
+++ b/crates/cranberrygap-control/src/residency/term.rs
@@ -1,4 +1,4 @@
-//! What one leader knows of the runners during its term.
+//! State of residency planning during one leader's term.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use cranberrygap_wire::traffic;
 use tokio::sync::oneshot;
 
-/// Time after taking leadership in which nothing is ordered. Runners that do not
-/// compare leaders would take orders of two; the one before may have sent its last
-/// order just before its lease ended, and orders take a moment on their way.
+/// Delay after taking leadership before the first order. Runners that do not check fencing tokens
+/// would accept orders of two leaders: the predecessor may have sent an order just before its lease
+/// ended, and that order takes a moment to arrive.
 const TAKEOVER_DELAY: duration::Span = duration::Span::from_millis(3_300);
 
-/// One leader's term.
+/// State of one leader's term.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) number: number::Term,
@@ -24,7 +24,7 @@
 }
 
 impl State {
-    /// A term that has begun at `now`.
+    /// Creates the state of a term that began at `now`.
     pub(super) const fn new(number: number::Term, now: duration::Instant) -> Self {
         Self {
             number,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Changes the book of a service, if there is one.
+    /// Calls `work` with the planner of a service, if there is one.
     pub(super) fn with_planner(
         &mut self,
         service: &id::Service,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes that a request wants an adapter.
+    /// Passes an entry's request for an adapter to the planner of its service.
     pub(super) fn request_adapter(
         &mut self,
         now: duration::Instant,
@@ -62,7 +62,7 @@
         planner.request_adapter(now, ticket, &adapter, &want.endpoint, want.expires);
     }
 
-    /// Takes over services and models, when the plan is a new one.
+    /// Updates services and models if the traffic plan has a new version.
     pub(super) fn update_from_plan(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
         let version = fleet.traffic.version();
         if version == self.plan_version {
--- a/crates/cranberrygap-control/src/shares.rs
+++ b/crates/cranberrygap-control/src/shares.rs
@@ -17,23 +17,22 @@
 use crate::proposer;
 use crate::replicated;
 
-/// Time between two looks for shares whose lease has run out and for entries that lend no
-/// more.
+/// Time between two checks for expired shares and for lenders to replace.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Renewals that may wait; an entry sends the next one when it has an answer.
+/// Renewals that may wait; an entry sends its next one only after an answer.
 const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// Renewals that one commit answers, so that it stays below the largest proposal.
+/// Renewals whose records go into one commit, so that it stays below the largest proposal.
 const MAX_RENEWALS_PER_COMMIT: usize = 128;
 
-/// Why a renewal is not answered when the process stops.
+/// Error message for a renewal that is not answered because the process stops.
 const STOPPING_MESSAGE: &str = "this control process is stopping";
 
-/// The leader's granter, shared by all who renew.
+/// Handle to the task that grants shares, used by all handlers of renewals.
 ///
-/// One task owns it. Renewals that come while a commit is under way are answered
-/// together by the next one, so that the wait does not grow with the entries.
+/// One task owns the granter. Renewals that arrive during a commit are answered together by the
+/// next one, so the wait does not grow with the number of entries.
 #[derive(Debug)]
 pub struct Coordinator {
     state: Arc<replicated::State>,
@@ -46,7 +45,7 @@
 
 type RenewalResult = Result<share::Granted, server::Fault>;
 
-/// What the task is asked for.
+/// Request to the task.
 #[derive(Debug)]
 enum Request {
     Renewal(Renewal),
@@ -61,7 +60,7 @@
 }
 
 impl Coordinator {
-    /// Grants what `state` allows while `proposer` leads.
+    /// Creates a coordinator that grants by `state` while `proposer` leads.
     #[must_use]
     pub fn new(
         state: Arc<replicated::State>,
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Answers a renewal once every allocation that it leads to is committed.
+    /// Answers a renewal once every allocation that it causes is committed.
     ///
     /// # Errors
     ///
@@ -108,7 +107,7 @@
         result
     }
 
-    /// Answers renewals and closes shares whose lease has run out, until the process stops.
+    /// Answers renewals and closes expired shares until the process stops.
     pub async fn run(self: Arc<Self>) {
         let Some(mut receiver) = self.request_receiver.lock().take() else {
             return;
@@ -121,7 +120,8 @@
                 request = receiver.recv() => {
                     let Some(request) = request else { return };
                     let waiting = std::iter::from_fn(|| receiver.try_recv().ok());
-                    let batch = std::iter::once(request).chain(waiting.take(MAX_RENEWALS_PER_COMMIT));
+                    let batch = std::iter::once(request)
+                        .chain(waiting.take(MAX_RENEWALS_PER_COMMIT));
                     let batch: Vec<Request> = batch.collect();
                     self.answer_batch(&mut current, batch).await;
                 }
@@ -139,7 +139,7 @@
                 match request {
                     Request::Dump(reply) => {
                         let pools = term.as_ref().ok().map(|term| term.granter.dump());
-                        // Whoever asked may have gone.
+                        // Fails if the caller no longer waits.
                         drop(reply.send(serde_json::json!(pools)));
                     }
                     Request::Renewal(renewal) => match self.grant(&mut term, &renewal) {
@@ -155,24 +155,24 @@
         self.metrics.measure(metric::Work::Share, grant);
         let committed = self.commit(records).await;
         if committed.is_err() {
-            // Whether the allocations are in the log is not known. The next
-            // renewal starts from the log, with every lease taken as just renewed.
+            // It is not known whether the allocations are in the log. The next renewal creates a
+            // new granter from the log, which counts every lease as just renewed.
             *current = None;
         }
         for (reply, granted) in granted {
             let outcome = committed.clone().map(|()| granted);
-            // An entry that has gone needs no answer.
+            // Fails if the entry no longer waits.
             drop(reply.send(outcome));
         }
     }
 
-    /// Decides on a renewal; its answer may be sent once its records are committed.
+    /// Decides on a renewal; the answer must not be sent before its records are committed.
     fn grant(
         &self,
         term: &mut Result<&mut term::State, server::Fault>,
         renewal: &Renewal,
     ) -> Result<granter::Answer, server::Fault> {
-        // Its sender has given it up or is gone, and tokens granted to it would be lost.
+        // Tokens granted to an entry that has given up on its renewal, or is gone, would be lost.
         let timeout = if renewal.renew.lends {
             lending::ANSWER_TIMEOUT
         } else {
@@ -207,20 +207,20 @@
         let step = lender::Step { lenders };
         let proposed = self.proposer.propose(command::Command::Lender(step)).await;
         if let Err(fault) = proposed {
-            // Chosen again at the next look.
+            // The next check chooses again.
             spdlog::warn!("limits: could not commit new lenders: {}", fault.message);
         }
     }
 
-    /// All pools, for a dump.
+    /// Returns all pools as JSON, for a dump.
     pub(crate) async fn dump(&self) -> serde_json::Value {
         let (reply, response) = oneshot::channel();
-        // A task that has ended holds no pools.
+        // Sending fails only if the task has ended; the reply below then fails too.
         drop(self.requests.send(Request::Dump(reply)).await);
         response.await.unwrap_or(serde_json::Value::Null)
     }
 
-    /// The granter of the current term with the limits that are in force now.
+    /// Returns the state of the current term, updated to the limits in force.
     fn current_term<'current>(
         &self,
         current: &'current mut Option<term::State>,
@@ -250,7 +250,10 @@
     }
 }
 
-/// What a renewal asks for: tokens for who waits, tokens for free space, or nothing.
+/// Returns the metric tag of a renewal.
+///
+/// The tag is `short` if requests wait for tokens, `moves` if tokens are only moved, else
+/// `nothing`.
 fn renewal_kind(renew: &share::Renew) -> &'static str {
     let needs_tokens = |demand: &share::Demand| demand.wanted.0 > 0;
     let moves_tokens =
--- a/crates/cranberrygap-control/src/shares/term.rs
+++ b/crates/cranberrygap-control/src/shares/term.rs
@@ -1,4 +1,4 @@
-//! What one leader grants during its term.
+//! State of granting shares during one leader's term.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use cranberrygap_state::fleet;
 use cranberrygap_wire::{configuration, share, view};
 
-/// Time after which entries that ask the leader for a workspace's tokens say that its lender
-/// does not answer them. Entries learn of a lender within some hundred milliseconds.
+/// Time after a lender was chosen before reports that it does not answer count against it. Entries
+/// learn of a new lender within a few hundred milliseconds.
 const LENDER_GRACE_PERIOD: duration::Span = duration::Span::from_secs(1);
 
-/// The granter of one term, and what it follows.
+/// Granter of one term, with the limits and lenders it was last configured with.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) number: number::Term,
     pub(super) granter: granter::Granter,
     limits: BTreeMap<id::Workspace, limits::Limit>,
     lenders: BTreeMap<id::Workspace, id::Instance>,
-    /// Since when each lender was chosen, as far as this leader knows.
+    /// When each lender was chosen, or first seen by this leader.
     lender_since: BTreeMap<id::Workspace, duration::Instant>,
-    /// Revision of the state that this was read from.
+    /// View revision that limits and lenders were read from.
     revision: Option<number::Revision>,
 }
 
 impl State {
-    /// Takes leadership with everything that the log knows.
+    /// Creates the state of a new term from the shares in the log.
     pub(super) fn new(now: duration::Instant, number: number::Term, fleet: &fleet::Fleet) -> Self {
         let limits = workspace_limits(fleet);
         let logged: Vec<share::Allocation> = fleet.shares.iter().cloned().collect();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes over limits and lenders that are in force now.
+    /// Updates limits and lenders from the replicated state if it has changed.
     pub(super) fn update_from_state(&mut self, now: duration::Instant, fleet: &fleet::Fleet) {
         if self.revision == Some(fleet.view_revision) {
             return;
@@ -70,8 +70,8 @@
                 limit.rate,
                 limit.burst
             );
-            // Who is not known since this leader took leadership was added after it,
-            // and no earlier leader can have granted from its bucket.
+            // A workspace that was unknown when this leader took over was added later, so no
+            // earlier leader can have granted from its bucket.
             self.granter
                 .configure(now, workspace, *limit, granter::Origin::Added);
         }
@@ -103,7 +103,9 @@
         }
     }
 
-    /// Closes shares that have ended, and chooses lenders where one is missing.
+    /// Closes expired shares and chooses lenders for workspaces that lack one.
+    ///
+    /// Returns the records and lenders to commit.
     pub(super) fn expire_and_choose_lenders(
         &mut self,
         now: duration::Instant,
@@ -125,8 +127,10 @@
         (records, changes)
     }
 
-    /// Whether a lender had the time of a lease and has none, or does not answer those who
-    /// ask it.
+    /// Returns whether a workspace needs another lender.
+    ///
+    /// It does if its lender holds no lease after the time of one, or does not answer the entries
+    /// that ask it.
     fn needs_new_lender(&self, now: duration::Instant, workspace: &id::Workspace) -> bool {
         let Some(lender) = self.lenders.get(workspace) else {
             return false;
@@ -153,7 +157,7 @@
     can_lend.then(|| (member.instance.clone(), active))
 }
 
-/// Rate and burst of every workspace by the configuration in force.
+/// Returns the rate and burst of every workspace by the configuration and plan in force.
 fn workspace_limits(fleet: &fleet::Fleet) -> BTreeMap<id::Workspace, limits::Limit> {
     let configuration = fleet.configuration.current();
     let workspaces = fleet.keys.workspaces();
--- a/crates/cranberrygap-control/src/store.rs
+++ b/crates/cranberrygap-control/src/store.rs
@@ -1,24 +1,24 @@
-//! Reads the weight store's list.
+//! Client that reads the weight store's list.
 
 use std::time::Duration;
 
 use cranberrygap_model::address;
 use cranberrygap_wire::endpoint;
 
-/// Longest time for one reading.
+/// Timeout of one request.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest list that is taken, in bytes; 4,096 models stay below it.
+/// Largest list that is read, in bytes; 4,096 models stay below it.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// A weight store.
+/// Client of a weight store.
 #[derive(Debug, Clone)]
 pub(crate) struct Store {
     http: reqwest::Client,
     url: String,
 }
 
-/// Why the list could not be read.
+/// Reason why the list could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error("the store does not answer: {0}")]
@@ -31,8 +31,8 @@
 
 impl Store {
     pub(crate) fn new(address: address::Socket) -> Result<Self, Error> {
-        // A fresh connection each time: a pooled one may be silently dead, and
-        // the list is read once a second only.
+        // A pooled connection may be dead without notice, and the list is read only once a second,
+        // so each request opens a new one.
         let http = reqwest::Client::builder()
             .timeout(LIST_TIMEOUT)
             .pool_max_idle_per_host(0)
--- a/crates/cranberrygap-control/src/subscription.rs
+++ b/crates/cranberrygap-control/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The stream of frames that one entry gets.
+//! Stream of view frames to one entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,19 +20,18 @@
 use crate::redirect;
 use crate::replicated;
 
-/// Time between heartbeats when nothing changes.
+/// Time between heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: duration::Span = duration::Span::from_millis(250);
 
-/// Time that a subscriber waits for this process to catch up with what the
-/// subscriber has already seen elsewhere. Below the time that a subscriber waits for a
-/// first frame; it asks another process after that.
+/// Longest time that a subscriber waits for this process to reach the revision it has seen. Shorter
+/// than a subscriber's wait for its first frame, after which it asks another process.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time between looks while catching up.
+/// Time between two checks while catching up.
 const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time without a known leader after which this process serves no view. It is
-/// longer than an ordinary election.
+/// Time without a known leader after which this process ends its streams. Longer than an ordinary
+/// election.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
 struct Subscription {
@@ -44,24 +43,24 @@
     next_snapshot: Option<view::Frame>,
     revision: number::Revision,
     leader_known_at: time::Instant,
-    /// Since when this process leads.
+    /// When this process began to lead, if it does.
     leading_since: Option<time::Instant>,
-    /// Whether the follower has found no other process.
+    /// Whether the leader serves this subscriber because it found no other process.
     served_by_leader: bool,
     metrics: metric::Recorder,
 }
 
-/// Time after which a new leader sends its followers elsewhere; a change of the leader is
-/// not the moment to look for another source.
+/// Time after which a new leader redirects its subscribers. They should not have to find another
+/// source during a change of leadership.
 const REDIRECT_DELAY: Duration = Duration::from_secs(3);
 
-/// What goes out next.
+/// Frame to send next.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum Outgoing {
-    /// Changes that are written already.
+    /// Changes that are already encoded.
     Delta(delta::Delta),
-    /// Anything else.
+    /// Any other frame.
     Whole(Box<view::Frame>),
 }
 
@@ -69,8 +68,9 @@
 ///
 /// # Errors
 ///
-/// A fault when this process lags behind what the entry has seen: an entry that
-/// changed over from a process that is ahead would otherwise go back in time.
+/// A fault when this process is behind what the entry has seen, which would otherwise go back to an
+/// older view when it changes its source, or when this process leads and other processes should
+/// serve the entry.
 pub(crate) async fn open(
     context: &peers::Context,
     wanted: &view::Subscribe,
@@ -116,8 +116,8 @@
     async fn next_item(mut self) -> Option<(Box<RawValue>, Self)> {
         let frame = self.next_frame().await?;
         let status = self.proposer.status();
-        // A process that was cut off from the group goes on with an old view and
-        // healthy connections. Ending the stream makes its entries look elsewhere.
+        // A process that is cut off from the group has an old view but working connections. Ending
+        // its streams makes the entries find another process.
         if status.leader.is_some() {
             self.leader_known_at = time::Instant::now();
         } else if self.leader_known_at.elapsed() > LEADERLESS_TIMEOUT {
@@ -132,7 +132,7 @@
         Some(self.encode(&frame))
     }
 
-    /// Whether this process leads for a while and others can serve the follower.
+    /// Returns whether this process has led for a while and others can serve the subscriber.
     fn should_redirect(&self) -> bool {
         let has_led_long = self
             .leading_since
@@ -140,7 +140,7 @@
         has_led_long && !self.served_by_leader && redirect::is_allowed(self.state.other_controls())
     }
 
-    /// The next frame, once it is due.
+    /// Waits until the next frame is due and returns it.
     async fn next_frame(&mut self) -> Option<Outgoing> {
         let next_heartbeat = self.clock.now().after(HEARTBEAT_INTERVAL);
         loop {
--- a/crates/cranberrygap-control/src/throttle.rs
+++ b/crates/cranberrygap-control/src/throttle.rs
@@ -1,10 +1,10 @@
-//! Bounds how often something is said.
+//! Limits how often a log line is written.
 
 use std::time::{Duration, Instant};
 
 use parking_lot::Mutex;
 
-/// Lets one line pass in a while.
+/// Rate limit of one log line per interval.
 #[derive(Debug)]
 pub(crate) struct Throttle {
     interval: Duration,
@@ -12,13 +12,13 @@
 }
 
 impl Throttle {
-    /// Lets one line pass in `gap`.
+    /// Creates a limit of one line per `interval`.
     pub(crate) const fn new(interval: Duration) -> Self {
         let last = Mutex::new(None);
         Self { interval, last }
     }
 
-    /// Whether a line may pass now; it counts as written then.
+    /// Returns whether a line may be written now, and counts it as written if so.
     pub(crate) fn allow(&self) -> bool {
         let mut last = self.last.lock();
         let allowed = last.is_none_or(|last| last.elapsed() >= self.interval);
