--- a/crates/cranberrygap-control/tests/confirmation.rs
+++ b/crates/cranberrygap-control/tests/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmations while the log stands still.
+//! Handling of confirmations while commits are delayed.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -18,10 +18,10 @@
 /// Time from the start of the term to the confirmation.
 const CONFIRMATION_DELAY: Duration = Duration::from_millis(50);
 
-/// Time for which the commits are waited for.
+/// Longest time that an answer is waited for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A log of a leader whose disk hangs.
+/// Log of a leader whose disk hangs.
 #[derive(Debug)]
 struct HungLog;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A leader that knows one entry and one runner, at the start of its term.
+/// Leader that knows one entry and one runner, at the start of its term.
 struct Leader {
     state: Arc<replicated::State>,
     detector: Arc<detector::Detector>,
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Whether a confirmation that comes later in the term is answered.
+    /// Returns whether a confirmation that arrives later in the term is answered.
     async fn is_answered(&self, confirm: &view::Confirm) -> bool {
         tokio::time::sleep(CONFIRMATION_DELAY).await;
         let taken = self.confirmations.handle(confirm);
         tokio::time::timeout(ANSWER_TIMEOUT, taken).await.is_ok()
     }
 
-    /// What is found when `silence` has passed since the start of the term, and a little.
+    /// Returns the transitions due one millisecond after `silence` since the start of the term.
     fn transitions_after(&self, silence: duration::Span) -> leadership::Transitions {
         let at = self.start.after(silence);
         let at = at.after(duration::Span::from_millis(1));
@@ -136,7 +136,7 @@
     serde_json::from_value(announcement).unwrap()
 }
 
-/// A confirmation with news, which have to be committed.
+/// Returns a confirmation with an announcement that has to be committed.
 fn confirm(announcement: endpoint::Announcement) -> view::Confirm {
     view::Confirm {
         announcements: vec![announcement],
@@ -144,8 +144,9 @@
     }
 }
 
-// The leader's disk hangs for seconds while new endpoints come: all healthy ones whose
-// heartbeats come with the news would get no requests.
+// The leader's disk hangs for seconds while new endpoints are announced. Healthy endpoints whose
+// heartbeats arrive in the same confirmations must not become suspect, or they would get no
+// requests.
 #[tokio::test]
 async fn heartbeat_is_recorded_while_commits_wait() {
     let leader = Leader::new();
@@ -168,7 +169,7 @@
     assert_eq!(transitions, []);
 }
 
-// The same of an endpoint that has news itself.
+// As above, for an endpoint whose own announcement waits for its commit.
 #[tokio::test]
 async fn announcement_is_recorded_while_its_commit_waits() {
     let leader = Leader::new();
@@ -184,8 +185,8 @@
     assert_eq!(transitions, []);
 }
 
-// The same of the entry that passes them on: it would leave the address list, and its running
-// bookings would be taken for lost.
+// As above, for the entry that sends the confirmations: it would leave the address list, and its
+// running bookings would be taken for lost.
 #[tokio::test]
 async fn entry_is_recorded_while_its_commits_wait() {
     let leader = Leader::new();
@@ -199,8 +200,8 @@
     assert_eq!(transitions, []);
 }
 
-// Hearing is all: a lease that is given before the entry's boot is in the log would be
-// unknown to the next leader.
+// Recording liveness must not grant a lease: the next leader would not know of a lease that was
+// granted before the entry's boot is in the log.
 #[tokio::test]
 async fn no_lease_is_granted_while_commits_wait() {
     let leader = Leader::new();
--- a/crates/cranberrygap-control/tests/fleet/mod.rs
+++ b/crates/cranberrygap-control/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Control processes in this process, with clients for entries and operators.
+//! Control processes run inside the test process, with clients for entries and operators.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Far beyond what anything here takes, also on a busy machine.
+/// Deadline far beyond what any step of a test takes, also on a busy host.
 pub const TIMEOUT: Duration = Duration::from_mins(1);
 
 const CALL_TIMEOUT: duration::Span = duration::Span::from_secs(5);
@@ -77,15 +77,15 @@
                     self.running[position] = Some(started);
                     return;
                 }
-                // The thread for the disk of the one before may still hold the
-                // folder, or the port is not free yet.
+                // The storage thread of the previous process may still hold the folder, or the port
+                // may not be free yet.
                 Err(cause) => assert!(tokio::time::Instant::now() < deadline, "{cause}"),
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Adds a process that waits to be added to the group.
+    /// Starts another process that waits to be added to the group.
     pub async fn join(&mut self, name: &str) -> address::Peer {
         let [port] = free_ports(1).try_into().unwrap();
         let own: address::Peer = format!("{name}@127.0.0.1:{port}").parse().unwrap();
@@ -97,7 +97,7 @@
         own
     }
 
-    /// Position of the leader, once there is one.
+    /// Waits for a leader and returns its position.
     pub async fn leader(&self) -> usize {
         until(|| {
             let mut running = self.running.iter();
@@ -110,7 +110,7 @@
         self.running[position].take().unwrap().stop().await;
     }
 
-    /// Asks as an operator, wherever the leader is, until there is an answer.
+    /// Calls the leader as an operator; tries again while the leader changes.
     pub async fn call_as_operator<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
@@ -120,7 +120,7 @@
             .await
     }
 
-    /// Asks as an entry.
+    /// Calls the leader as an entry; tries again while the leader changes.
     pub async fn call_as_entry<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
@@ -206,7 +206,7 @@
     key::Secret::new([number; key::RANDOM_BYTES])
 }
 
-/// An entry's confirmation that `revision` is in force there.
+/// Returns an entry's confirmation that `revision` is in force there.
 pub fn confirm(revision: number::Revision) -> view::Confirm {
     view::Confirm {
         instance: "entry-1".parse().unwrap(),
@@ -223,7 +223,7 @@
     }
 }
 
-/// Polls until there is something.
+/// Calls `poll` repeatedly until it returns a value.
 pub async fn until<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
@@ -252,7 +252,7 @@
     serde_json::from_value(text).unwrap()
 }
 
-/// Ports that nobody listens on at this moment.
+/// Returns ports that nothing listens on at this moment.
 fn free_ports(count: usize) -> Vec<u16> {
     let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
--- a/crates/cranberrygap-control/tests/followers.rs
+++ b/crates/cranberrygap-control/tests/followers.rs
@@ -1,4 +1,4 @@
-//! The leader leaves views to other control processes while there are some.
+//! Redirecting subscribers of the view from the leader to other control processes.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use cranberrygap_control::redirect;
@@ -12,7 +12,8 @@
     "entry-1".parse().unwrap()
 }
 
-// Frames of many entries take the processor that leases and shares need.
+// Encoding frames for many entries would take processor time that the leader needs for leases and
+// shares.
 #[test]
 fn leader_redirects_new_subscribers() {
     let mut redirects = redirect::Redirects::default();
@@ -20,7 +21,7 @@
     assert!(!redirects.should_serve(at(0), &entry(), 4));
 }
 
-// The others may be lost, and an entry without a view serves nobody.
+// The other control processes may be lost, and an entry without a view serves no requests.
 #[test]
 fn subscriber_that_comes_back_is_served_by_the_leader() {
     let mut redirects = redirect::Redirects::default();
--- a/crates/cranberrygap-control/tests/gather.rs
+++ b/crates/cranberrygap-control/tests/gather.rs
@@ -1,4 +1,4 @@
-//! Frames of the view hold all that came since the last one.
+//! Buffering of view changes until the next delta frame.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     encoded_change(view::Change::EndpointRemoved { endpoint })
 }
 
-// A frame for each change to each follower takes the processor from leases.
+// One frame for each change and subscriber would take processor time that leases need.
 #[test]
 fn frame_rate_does_not_grow_with_subscribers() {
     for subscribers in [8, 65, 390] {
@@ -63,7 +63,7 @@
     assert!(buffer.next_due(65) <= Some(at(100)));
 }
 
-// Entries must end where the log ended, with each removal on the way.
+// Entries must reach the same view as the log, including each removal.
 #[test]
 fn obsolete_changes_are_dropped_and_removals_kept() {
     let mut buffer = delta::Buffer::default();
@@ -83,7 +83,7 @@
             .collect(),
     };
     assert_eq!(frame.to_frame(), expected);
-    // Followers read it as any other frame.
+    // Subscribers parse it like any other frame.
     let text = serde_json::to_string(&frame).unwrap();
     assert_eq!(
         serde_json::from_str::<view::Frame>(&text).unwrap(),
--- a/crates/cranberrygap-control/tests/leadership.rs
+++ b/crates/cranberrygap-control/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader grants and notices, as a pure step by step.
+//! Leases, acknowledgements and liveness of one leader's term, without I/O.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -22,7 +22,7 @@
     leadership::Leadership::new(number::Term(1), START, revision(5))
 }
 
-/// A fleet of one entry and one runner.
+/// Returns a fleet with one entry and one runner.
 fn fleet_with_one_of_each() -> state::Fleet {
     let mut fleet = state::Fleet::default();
     let confirm = fleet::confirm(revision(0));
@@ -70,8 +70,8 @@
     assert_eq!(lease, leadership::LEASE);
 }
 
-// An entry follows a control process that was cut off, yet still reaches the
-// leader. With leases it would go on accepting a key that was withdrawn.
+// An entry receives its view from a control process that is cut off, but still reaches the leader.
+// With leases it would go on accepting a withdrawn key.
 #[test]
 fn entry_with_a_stale_view_gets_no_lease() {
     let mut leadership = new_leadership();
@@ -97,9 +97,9 @@
     assert!(after.is_empty());
 }
 
-// A leader takes over right after its predecessor gave an entry a lease. It
-// must not tell an operator that a withdrawn key is out of use everywhere while
-// that entry, of which it has not heard, still serves.
+// A leader takes over right after its predecessor granted a lease to an entry. It must not report
+// that a withdrawn key is out of use everywhere while that entry, not heard yet in this term, still
+// serves.
 #[test]
 fn new_leader_waits_for_leases_of_its_predecessor() {
     let leadership = new_leadership();
@@ -124,9 +124,9 @@
     );
 }
 
-// The source of an entry's view stands still, a change is committed, and the leader stands
-// still right after its answer. Told before the entry's lease is nearly out, an operator
-// would see a withdrawn key work for longer than two seconds.
+// The source of an entry's view freezes, a change is committed, and the leader freezes right after
+// its answer. If the answer came before the entry's lease has nearly expired, a withdrawn key would
+// work for more than two seconds after it.
 #[test]
 fn change_is_acknowledged_once_little_is_left_of_each_lease() {
     let mut leadership = new_leadership();
@@ -151,9 +151,8 @@
     assert!(leadership.try_acknowledge(at(1), revision(6), &fleet));
 }
 
-// The last lease of an entry is nearly out and a change is acknowledged. A heartbeat that
-// was sent before the entry had the change must not bring it a new lease, however short
-// the time since the commit.
+// The last lease of an entry has nearly expired and a change is acknowledged. A confirmation that
+// was sent before the entry had the change must not bring a new lease, however recent the commit.
 #[test]
 fn view_before_an_acknowledged_change_gets_no_lease() {
     let mut leadership = new_leadership();
@@ -168,8 +167,8 @@
     assert_eq!(lease, duration::Span(0));
 }
 
-// A leader takes over and hears from an entry whose view is old. The lease that its
-// predecessor gave runs on, though this leader gives none.
+// A leader takes over and hears from an entry with an old view. It grants no lease, but must still
+// count the one that its predecessor granted.
 #[test]
 fn lease_of_a_predecessor_counts_after_a_confirmation_without_one() {
     let mut leadership = new_leadership();
@@ -182,7 +181,7 @@
     assert!(leadership.try_acknowledge(at(950), revision(6), &fleet));
 }
 
-// An endpoint's process dies without a word; its heartbeats stop.
+// An endpoint's process dies and its heartbeats stop.
 #[test]
 fn silent_endpoint_becomes_suspect_and_a_heard_one_does_not() {
     let mut leadership = new_leadership();
@@ -223,8 +222,8 @@
     ));
 }
 
-// An operator drains an endpoint, and a cut keeps its heartbeats away for a
-// while. Forgotten, it would be back in service once the cut ends.
+// An operator drains an endpoint, and a network partition holds back its heartbeats for a while. If
+// the endpoint were forgotten, it would be back in service when the partition ends.
 #[test]
 fn drained_endpoint_is_not_forgotten_when_it_falls_silent() {
     let leadership = new_leadership();
@@ -257,8 +256,8 @@
     assert_eq!(dump["endpoints"], serde_json::json!([]));
 }
 
-// News of what engines hold come fifty times a second; an entry that is behind by such a
-// one alone must keep its lease.
+// Changes of the adapters on runners come fifty times a second. An entry that lacks only such a
+// change must keep its lease.
 #[test]
 fn change_of_adapters_costs_no_entry_its_lease() {
     let mut fleet = fleet_with_one_of_each();
@@ -280,7 +279,7 @@
     assert_eq!(lease, leadership::LEASE);
 }
 
-// An endpoint that leaves is told so once entries send it nothing more.
+// A leaving endpoint is told that it may stop only when entries no longer send it requests.
 #[test]
 fn drain_of_an_endpoint_is_a_binding_change() {
     let mut fleet = fleet_with_one_of_each();
--- a/crates/cranberrygap-control/tests/leadership_former_process.rs
+++ b/crates/cranberrygap-control/tests/leadership_former_process.rs
@@ -1,4 +1,4 @@
-//! Late words of a process whose successor was heard already.
+//! Late messages of a process whose successor was already heard.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -14,7 +14,7 @@
     START.after(duration::Span::from_millis(millis))
 }
 
-/// A fleet of one entry and one runner, both in their second process.
+/// Returns a fleet with one entry and one runner, both in their second process.
 fn fleet_with_restarted_processes() -> state::Fleet {
     let mut fleet = state::Fleet::default();
     let confirm = confirm(2);
@@ -64,8 +64,8 @@
     leadership::Leadership::new(number::Term(1), START, number::Revision(5))
 }
 
-// A heartbeat that a partition held up arrives after its sender has crashed and come back:
-// the healthy runner would get no requests until its next heartbeat.
+// A heartbeat delayed by a partition arrives after its sender has crashed and restarted. It must
+// not make the healthy runner suspect, which would get no requests until its next heartbeat.
 #[test]
 fn late_heartbeat_of_a_former_process_makes_no_endpoint_suspect() {
     let mut leadership = leadership();
@@ -79,8 +79,8 @@
     assert_eq!(transitions, []);
 }
 
-// The same of an entry: it would leave the address list, and its running bookings would be
-// taken for lost.
+// As above, for an entry: it would leave the address list, and its running bookings would be taken
+// for lost.
 #[test]
 fn late_confirmation_of_a_former_process_makes_no_entry_gone() {
     let mut leadership = leadership();
@@ -94,8 +94,8 @@
     assert_eq!(transitions, []);
 }
 
-// The former process had a later view than its successor has. Were its word taken for the
-// successor's, an operator would see a withdrawn key work after being told that none does.
+// The former process had a newer view than its successor has. If its confirmation counted for the
+// successor, an operator could see a withdrawn key work after being told that it does not.
 #[test]
 fn late_confirmation_of_a_former_process_does_not_count_for_its_successor() {
     let mut leadership = leadership();
@@ -115,7 +115,7 @@
     assert_eq!(waiting.len(), 1);
 }
 
-// The reverse: the successor has the change, and no word from before holds it up.
+// The reverse case: the successor has the change, and the late confirmation must not delay it.
 #[test]
 fn late_confirmation_of_a_former_process_delays_no_change() {
     let mut leadership = leadership();
--- a/crates/cranberrygap-control/tests/limits_takeover.rs
+++ b/crates/cranberrygap-control/tests/limits_takeover.rs
@@ -1,4 +1,4 @@
-//! A new leader's tokens beside those that an entry goes on to lend under its lease.
+//! Tokens of a new leader besides those that an entry still lends under its lease.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 const BURST: u64 = 100_000;
 const COST: u64 = 500;
 
-/// When the second leader takes over.
+/// Time at which the second leader takes over, in milliseconds.
 const TAKEOVER_MILLIS: u64 = 3_500;
 const END_MILLIS: u64 = 5_500;
 
@@ -60,7 +60,7 @@
     holder
 }
 
-/// The leader's answer, once what it leads to is in the log.
+/// Returns the leader's answer after logging its records.
 fn answer(
     granter: &mut granter::Granter,
     log: &mut state::Shares,
@@ -74,7 +74,7 @@
     answer.granted
 }
 
-/// Sends what callers ask for, more than the rate; gives the admitted tokens.
+/// Requests more tokens than the rate allows and returns how many were admitted.
 fn admitted(holder: &mut holder::Holder, now: duration::Instant) -> u64 {
     let max_wait = holder::MaxWait::uniform(duration::Span::from_millis(200));
     let mut tokens = 0;
@@ -89,9 +89,9 @@
     tokens + late * COST
 }
 
-// An entry that lends and has a share of its own loses its contact to the control processes
-// when a new leader takes over. Its lease runs on, so callers there get what it holds; the
-// new leader must not give the same to others before that lease has ended.
+// An entry that lends and has a share of its own loses contact with the control processes when a
+// new leader takes over. Callers there get the tokens it holds until its lease ends, so the new
+// leader must not grant the same tokens to others before.
 #[test]
 fn new_leader_grants_no_tokens_that_an_entry_may_lend() {
     let mut log = state::Shares::default();
@@ -116,7 +116,7 @@
                 let granted = answer(&mut first, &mut log, now, &renewal);
                 own.apply_grants(now, &granted);
             }
-            // A light load, so that the entry's own share is there and little is spent.
+            // A light load creates the entry's own share but spends little of it.
             if millis % 100 == 0 {
                 admitted(&mut own, now);
             }
--- a/crates/cranberrygap-control/tests/process.rs
+++ b/crates/cranberrygap-control/tests/process.rs
@@ -1,4 +1,4 @@
-//! Whole control processes over real sockets and folders.
+//! Whole control processes with real sockets and folders.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -70,8 +70,8 @@
     ));
 }
 
-// An entry changed over from a control process that was ahead of this one. With
-// the older view a withdrawn key would work again.
+// An entry changes from a control process that was ahead of this one. With the older view a
+// withdrawn key would work again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn subscriber_is_never_served_less_than_it_has_seen() {
     let group = fleet::Group::start(1).await;
@@ -86,8 +86,8 @@
     assert!(matches!(refused, Err(Error::Refused { .. })));
 }
 
-// A key is withdrawn while an entry serves with a lease. The operator must not
-// hear "in force" before the entry confirmed it or its lease ran out.
+// A key is withdrawn while an entry holds a lease. The operator must not be told that the change is
+// in force before the entry confirmed it or its lease ended.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn withdrawal_is_in_force_once_the_entry_has_confirmed_it() {
     let group = fleet::Group::start(1).await;
@@ -106,7 +106,7 @@
     assert!(force.in_force, "waits for {:?}", force.waiting);
 }
 
-// Two operators apply from the same revision at the same time.
+// Two operators apply a configuration to the same revision at the same time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_of_two_concurrent_applies_is_accepted() {
     let group = fleet::Group::start(3).await;
@@ -126,8 +126,8 @@
     );
 }
 
-// The leader is stopped as planned after it accepted a change, and the operator
-// sends the change again because the answer was lost.
+// The leader is stopped as planned after it accepted a change, and the operator repeats the request
+// because the answer was lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn change_survives_a_planned_stop_of_the_leader_and_its_resend_changes_nothing() {
     let mut group = fleet::Group::start(3).await;
@@ -145,7 +145,7 @@
     assert_eq!(history.len(), 1);
 }
 
-// A control process restarts and must have everything that was accepted.
+// A restarted control process must have every accepted change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn accepted_changes_survive_a_restart_of_all() {
     let mut group = fleet::Group::start(1).await;
@@ -192,8 +192,7 @@
     assert!(!after.voters.contains(&leave.instance));
 }
 
-/// Asks again while the group refuses, for instance since the newcomer has not
-/// presented itself yet.
+/// Repeats a request while the group refuses it, for example until a newcomer presents itself.
 async fn until_taken<P: serde::Serialize + Sync>(
     group: &fleet::Group,
     method: &'static str,
--- a/crates/cranberrygap-control/tests/replica.rs
+++ b/crates/cranberrygap-control/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The replica with real folders over a network in one process.
+//! Replicas with real folders over a network inside the test process.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod support;
@@ -31,8 +31,8 @@
     );
 }
 
-// The leader is cut off. Operators and entries find no leader for less than a
-// second, then another one, which has everything that was accepted.
+// The leader is cut off. Operators and entries find no leader for less than a second, then another
+// one that has every accepted change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn three_voters_survive_the_loss_of_their_leader() {
     let group = support::group(3, NO_SNAPSHOT);
@@ -59,9 +59,9 @@
     assert_eq!(*old.recorder.payloads.lock(), *new.recorder.payloads.lock());
 }
 
-// A voter's disk is lost and its instance comes back with an empty folder. It
-// must not vote under its old id, whose votes it has forgotten; it is replaced
-// through learner and voter, and then another voter may fail.
+// A voter's disk is lost and its instance comes back with an empty folder. It must not vote under
+// its old id, whose votes it no longer knows. It is replaced, as a learner and then a voter, after
+// which another voter may fail.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn voter_with_a_lost_disk_comes_back_under_a_new_id() {
     let group = support::group(3, 10);
@@ -99,8 +99,8 @@
     assert_eq!(joined["state"]["members"], serde_json::json!([]));
 }
 
-// A replica was away while the others compacted their logs. It gets a snapshot
-// and goes on from there, also after a restart.
+// A replica was cut off while the others compacted their logs. It gets a snapshot and continues
+// from there, also after a restart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn replica_that_was_away_gets_a_snapshot() {
     let mut group = support::group(3, 10);
@@ -126,8 +126,8 @@
     assert!(dump["state"]["snapshot"]["index"].as_u64().unwrap() > 0);
 }
 
-// The leader's instance is taken out of service. Without a hand-over all changes
-// and leases would wait for an election.
+// The leader's instance is taken out of service. Without a transfer of leadership, all changes and
+// leases would wait for an election.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn leader_transfers_leadership_before_a_planned_stop() {
     let group = support::group(3, NO_SNAPSHOT);
@@ -147,8 +147,8 @@
     assert!(!led);
 }
 
-// The leader's disk fails in the middle of a sync. What it cannot write it must
-// not acknowledge, and the others must take over.
+// The leader's disk fails during a sync. It must not acknowledge what it cannot write, and the
+// others must take over.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn failed_disk_stops_only_its_replica() {
     let group = support::group(3, NO_SNAPSHOT);
@@ -172,9 +172,9 @@
 
     assert!(!faulty.replica.status().leads);
     let healthy = &running[0];
-    // The proposal that met the failure has an unknown outcome and is sent again.
-    // It may be there twice, one after the other; the state above the log knows
-    // resends by their change id.
+    // The proposal that met the failure has an unknown outcome and is sent again, so it may be
+    // there twice in a row. The state above the log recognizes repeated requests by their change
+    // id.
     let expected = ["one", "0", "1", "2", "3", "4"].map(Bytes::from);
     support::wait_for("all entries in order", || {
         let mut payloads = healthy.recorder.payloads.lock().clone();
@@ -205,13 +205,10 @@
     assert_eq!(refused, Err(expected));
 }
 
-// All instances lose power after hundreds of large changes, on instances with a small part
-// of a core. Entries are refused for seconds after everything is back, by one leader after
-// the other: each goes silent for longer than an election right after it was elected, and
-// is replaced by the next, which goes silent too. The cause was that a new leader applied
-// all it had read from its folder in one step of the protocol. Shown by the lines of such a
-// day: a whole core share used and no byte sent for 2.4 s after "leads in term 6", then
-// "leads no more", and the same once more in term 8.
+// All instances, each with a small part of a core, lose power after hundreds of large changes. Each
+// new leader applied its whole log in one step of the protocol after its election: it used its full
+// core share and sent no byte for 2.4 s, longer than an election, and was replaced by the next
+// leader with the same fault. Entries were refused for seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn leader_with_a_long_log_to_apply_keeps_leadership() {
     const CHANGES: usize = 300;
@@ -240,11 +237,10 @@
     assert!(new_terms <= MAX_TERMS, "{new_terms} terms until one leads");
 }
 
-// Operators send large changes all day; the count of entries after which the log was
-// shortened was never reached. After a loss of power each control process read and applied
-// megabytes of changes that were long replaced, seconds on a small part of a core, before
-// entries got a view. Shown by the start of such a process, which took 0.7 s to its first
-// line, while one with an empty folder took 0.05 s.
+// With large changes the log never reached the number of entries after which it is compacted. After
+// a power loss each control process read and applied megabytes of obsolete changes, for seconds on
+// a small part of a core, before entries got a view. Such a process took 0.7 s to its first log
+// line, one with an empty folder 0.05 s.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn log_of_large_changes_is_compacted_by_its_size() {
     const CHANGES: usize = 300;
@@ -270,8 +266,8 @@
     );
 }
 
-// A leader that no settings name must hear of a replica that presents itself: the group would
-// stay without it, and the next loss of folders would leave no quorum.
+// A replica presents itself, but no settings name the current leader. The leader must still hear of
+// it: otherwise the group stays without the replica, and the next loss of folders leaves no quorum.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn leader_missing_in_settings_adds_a_replica_with_a_new_folder() {
     let group = support::group(3, NO_SNAPSHOT);
@@ -298,7 +294,7 @@
             break;
         }
         let leader = support::await_leader(&running).await;
-        // Refused while another hand-over is under way; the next look tries again.
+        // The transfer is refused while another one is in progress; the next round tries again.
         drop(leader.replica.transfer_leadership().await);
         support::commit(&running, "next").await;
     }
--- a/crates/cranberrygap-control/tests/shares.rs
+++ b/crates/cranberrygap-control/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Renewals of shares of many entries that come together.
+//! Share renewals of many entries at the same time.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 const ENTRIES: usize = 65;
 const WORKSPACES: usize = 16;
 
-/// A log of one process whose commits take a while.
+/// Log of a single process with slow commits.
 #[derive(Debug)]
 struct SlowLog {
     state: Arc<replicated::State>,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A leader of sixteen workspaces.
+/// Returns a leader with sixteen workspaces.
 fn leader() -> (Arc<SlowLog>, Arc<shares::Coordinator>) {
     let state = Arc::new(replicated::State::default());
     let log = Arc::new(SlowLog {
@@ -127,7 +127,8 @@
     }
 }
 
-// Renewals that wait for a commit each are given up by their entries, which refuse callers.
+// If each renewal waited for a commit of its own, entries would give up on theirs and refuse
+// callers.
 #[tokio::test]
 async fn concurrent_renewals_share_a_commit() {
     let (log, shares) = leader();
@@ -137,7 +138,7 @@
     let answers = future::join_all(renewals).await;
 
     assert!(answers.iter().all(Result::is_ok), "{answers:?}");
-    // The first may begin a commit by itself; the others come while it is under way.
+    // The first renewal may start a commit of its own; the others arrive during it.
     assert!(log.commits() - before <= 2, "{}", log.commits() - before);
 }
 
--- a/crates/cranberrygap-control/tests/support/mod.rs
+++ b/crates/cranberrygap-control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas in one process over a network that can be cut.
+//! Replicas run inside the test process, over a network that can be cut.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -16,13 +16,13 @@
 use cranberrygap_storage::{disk, files};
 use parking_lot::Mutex;
 
-/// Keeps all payloads and answers with their count.
+/// State machine that keeps all payloads and answers with their number.
 #[derive(Debug, Default)]
 pub struct Recorder {
     pub payloads: Mutex<Vec<Bytes>>,
-    /// Time that one entry takes.
+    /// Time to apply one entry.
     pub apply_time: Duration,
-    /// Whether only the last payload is kept, as where each change replaces the one before.
+    /// Whether only the last payload is kept, for changes that each replace the previous one.
     pub keep_last_only: bool,
     /// Entries applied since the start.
     pub applied: AtomicUsize,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Carries packets between replicas of this process.
+/// Network that carries packets between the replicas.
 #[derive(Debug, Default)]
 pub struct Network {
     receivers: Mutex<BTreeMap<id::Instance, Weak<replica::Replica>>>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// One replica's end of the network.
+/// Transport of one replica over the network.
 #[derive(Debug)]
 struct Link {
     own: address::Peer,
@@ -99,7 +99,7 @@
     }
 }
 
-/// A running replica and its state machine.
+/// A running replica with its state machine.
 #[derive(Debug, Clone)]
 pub struct Running {
     pub peer: address::Peer,
@@ -107,7 +107,7 @@
     pub recorder: Arc<Recorder>,
 }
 
-/// A group whose folders end with it.
+/// A group of replicas; its folders are deleted with it.
 #[derive(Debug)]
 pub struct Group {
     pub network: Arc<Network>,
@@ -116,9 +116,9 @@
     pub snapshot_after: u64,
     pub snapshot_bytes: u64,
     pub trailing: u64,
-    /// Time that the state machines take for one entry.
+    /// Time that the state machines take to apply one entry.
     pub apply_time: Duration,
-    /// Whether they keep the last payload only.
+    /// Whether the state machines keep the last payload only.
     pub keep_last_only: bool,
 }
 
@@ -188,7 +188,7 @@
     }
 }
 
-/// Waits for a condition; the limit only bounds a failing test.
+/// Waits until a condition holds; the limit only bounds a failing test.
 pub async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..3_000 {
         if condition() {
@@ -209,7 +209,7 @@
     leader(replicas).unwrap()
 }
 
-/// Proposes at whoever leads until it is committed.
+/// Proposes to the current leader until the payload is committed.
 pub async fn commit(replicas: &[Running], payload: &str) -> log::Committed {
     for _ in 0..600 {
         if let Some(leader) = leader(replicas) {
@@ -223,14 +223,14 @@
     panic!("never committed: {payload}");
 }
 
-/// Starts a replica again; waits until the folder's lock is free.
+/// Starts a replica again once the lock of its folder is free.
 pub async fn reopen(group: &Group, peer: &address::Peer) -> Running {
     let folder = group.folder(peer);
     wait_for("the folder's lock", || disk::Disk::lock(&folder).is_ok()).await;
     group.start(peer)
 }
 
-/// A disk whose syncs can be made to fail; it has no content that lasts.
+/// Disk in memory whose syncs can be made to fail.
 #[derive(Debug, Clone, Default)]
 pub struct FaultyDisk {
     files: Arc<Mutex<BTreeMap<String, Vec<u8>>>>,
@@ -238,7 +238,7 @@
 }
 
 impl FaultyDisk {
-    /// Lets every sync fail from now on.
+    /// Makes every sync fail from now on.
     pub fn fail(&self) {
         self.failing.store(true, Ordering::SeqCst);
     }
@@ -284,7 +284,7 @@
     }
 }
 
-/// Waits for a condition that has to be asked for.
+/// Waits until an asynchronous condition holds.
 pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..1_500 {
         if condition().await {
@@ -295,7 +295,7 @@
     panic!("timed out waiting for: {what}");
 }
 
-/// Takes an instance's lost replica out and its new one in, as an operator does.
+/// Replaces an instance's lost replica by its new one, as an operator does.
 pub async fn replace_replica(replicas: &[Running], instance: &id::Instance) {
     wait_until("the lost replica is out", async || match leader(replicas) {
         Some(leader) => leader.replica.remove_member(instance).await.is_ok(),
