--- a/crates/cranberrygap-control/src/delta.rs
+++ b/crates/cranberrygap-control/src/delta.rs
@@ -67,7 +67,7 @@
         }
         let earliest = self
             .last_sent
-            .map(|earliest| earliest.after(leader_calls::min_interval(subscribers)));
+            .map(|sent| sent.after(leader_calls::min_interval(subscribers)));
         Some(earliest.unwrap_or_default())
     }
 
--- a/crates/cranberrygap-control/src/reconciler.rs
+++ b/crates/cranberrygap-control/src/reconciler.rs
@@ -135,8 +135,8 @@
             changed.chain(gone_steps).collect::<Vec<_>>()
         });
         for step in steps {
-            let description = self.proposer.propose(command::Command::Member(step)).await;
-            if let Err(fault) = description {
+            let proposed = self.proposer.propose(command::Command::Member(step)).await;
+            if let Err(fault) = proposed {
                 spdlog::info!("group: could not commit a member: {}", fault.message);
                 return;
             }
--- a/crates/cranberrygap-control/src/replica/task.rs
+++ b/crates/cranberrygap-control/src/replica/task.rs
@@ -82,11 +82,11 @@
         spdlog::info!(
             "agreement: read {} entries after entry {}, term {}, vote {:?}",
             recovered.entries.len(),
-            snapshot.map_or(0, |found| found.position.index.0),
+            snapshot.map_or(0, |snapshot| snapshot.position.index.0),
             recovered.hard.term,
             recovered.hard.vote.map(|id| id.to_string())
         );
-        let snapshot_bytes = snapshot.map_or(0, |found| found.data.len() as u64);
+        let snapshot_bytes = snapshot.map_or(0, |snapshot| snapshot.data.len() as u64);
         let formed = recovered.identity.formed.clone();
         let phase = match &formed {
             Some(formed) => {
--- a/crates/cranberrygap-control/tests/process.rs
+++ b/crates/cranberrygap-control/tests/process.rs
@@ -110,12 +110,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_of_two_concurrent_applies_is_accepted() {
     let group = fleet::Group::start(3).await;
-    let (one, other) = (
+    let (first, second) = (
         apply("c-1", 0, "[defaults]\nrate = 1/s\n"),
         apply("c-2", 0, "[defaults]\nrate = 2/s\n"),
     );
 
-    let answers = tokio::join!(applied(&group, &one), applied(&group, &other));
+    let answers = tokio::join!(applied(&group, &first), applied(&group, &second));
 
     let won = |answer: &operator::Applied| matches!(answer, operator::Applied::Accepted { .. });
     let lost = |answer: &operator::Applied| matches!(answer, operator::Applied::Conflict { .. });
@@ -154,11 +154,11 @@
 
     group.stop(0).await;
     group.run(0).await;
-    let shown: view::State = group.call_as_operator(method::SHOW, &()).await.unwrap();
+    let state: view::State = group.call_as_operator(method::SHOW, &()).await.unwrap();
 
-    assert_eq!(shown.configuration.defaults.rate.to_string(), "7/s");
-    assert_eq!(shown.keys.len(), 1);
-    assert_eq!(shown.keys[0].hash, "", "hashes are not shown");
+    assert_eq!(state.configuration.defaults.rate.to_string(), "7/s");
+    assert_eq!(state.keys.len(), 1);
+    assert_eq!(state.keys[0].hash, "", "hashes are not shown");
 }
 
 // A control instance is lost for good and another one takes its place.
--- a/crates/cranberrygap-control/tests/replica.rs
+++ b/crates/cranberrygap-control/tests/replica.rs
@@ -70,7 +70,9 @@
         support::commit(&running, &number.to_string()).await;
     }
     let leader = support::await_leader(&running).await;
-    let position = running.iter().position(|one| one.peer != leader.peer);
+    let position = running
+        .iter()
+        .position(|candidate| candidate.peer != leader.peer);
     let lost = running.remove(position.unwrap());
     let before = lost.replica.dump().await;
 
@@ -88,7 +90,7 @@
     let leader = support::await_leader(&running).await;
     let failing = running
         .iter()
-        .find(|one| one.peer != lost.peer && one.peer != leader.peer);
+        .find(|candidate| candidate.peer != lost.peer && candidate.peer != leader.peer);
     group.network.cut(&failing.unwrap().peer.instance);
     support::commit(&running, "after").await;
     support::wait_for("the new replica has all", || {
@@ -107,7 +109,10 @@
     group.trailing = 2;
     let running = group.start_all();
     let leader = support::await_leader(&running).await;
-    let away = running.iter().find(|one| one.peer != leader.peer).unwrap();
+    let away = running
+        .iter()
+        .find(|candidate| candidate.peer != leader.peer)
+        .unwrap();
     group.network.cut(&away.peer.instance);
     for number in 0..60 {
         support::commit(&running, &number.to_string()).await;
@@ -140,7 +145,7 @@
     old.replica.stop().await;
     let others: Vec<_> = running
         .into_iter()
-        .filter(|one| one.peer != old.peer)
+        .filter(|candidate| candidate.peer != old.peer)
         .collect();
     support::commit(&others, "two").await;
 
@@ -191,7 +196,10 @@
     let running = group.start_all();
     support::commit(&running, "one").await;
     let leader = support::await_leader(&running).await;
-    let follower = running.iter().find(|one| one.peer != leader.peer).unwrap();
+    let follower = running
+        .iter()
+        .find(|candidate| candidate.peer != leader.peer)
+        .unwrap();
 
     support::wait_for("the follower knows the leader", || {
         follower.replica.status().leader.is_some()
@@ -221,8 +229,8 @@
         support::commit(&running, &"x".repeat(CHANGE_BYTES)).await;
     }
     let before = support::await_leader(&running).await.replica.status().term;
-    for one in &running {
-        one.replica.stop().await;
+    for candidate in &running {
+        candidate.replica.stop().await;
     }
     drop(running);
     group.apply_time = std::time::Duration::from_millis(10);
@@ -299,7 +307,9 @@
         support::commit(&running, "next").await;
     }
     assert!(fourth.replica.status().leads, "the fourth never led");
-    let position = running.iter().position(|one| one.peer != fourth.peer);
+    let position = running
+        .iter()
+        .position(|candidate| candidate.peer != fourth.peer);
     let lost = running.remove(position.unwrap());
 
     lost.replica.stop().await;
