--- a/crates/cranberrygap-control/src/detector.rs
+++ b/crates/cranberrygap-control/src/detector.rs
@@ -1,4 +1,4 @@
-//! What the leader does by itself: notices silence, reads the store's list.
+//! Duties of the leader: detects silent entries and endpoints, and polls the weight store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +15,20 @@
 use crate::replicated;
 use crate::store;
 
-/// Time between two looks. It is part of the time in which a withdrawn key
-/// stops working, see [`leadership::LEASE`].
-const PERIOD: Duration = Duration::from_millis(100);
+/// Time between two liveness checks. It is part of the time until a withdrawn key stops working,
+/// see [`leadership::LEASE`].
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks whether all rely on a change; entries confirm one some 30 ms after
-/// it is committed.
-const SETTLE_LOOK: Duration = Duration::from_millis(15);
+/// Time between two checks whether a change is in force at all entries. Entries confirm a change
+/// about 30 ms after its commit.
+const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Time between two readings of the store's list.
-const STORE_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two requests for the store's list.
+const STORE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The leader's term, shared with those who serve entries.
+/// Failure detector of the leader.
+///
+/// It also shares the term's state with the handlers of entries' calls.
 #[derive(Debug)]
 pub struct Detector {
     state: Arc<replicated::State>,
@@ -37,7 +39,7 @@
 }
 
 impl Detector {
-    /// A detector that changes `state` through `proposer`.
+    /// Creates a detector that changes `state` through `proposer`.
     #[must_use]
     pub const fn new(
         state: Arc<replicated::State>,
@@ -54,118 +56,127 @@
         }
     }
 
-    /// The process's clock.
+    /// Returns the time by the clock that leases are measured with.
     pub(crate) fn now(&self) -> duration::Instant {
         self.clock.now()
     }
 
-    /// The current term, if this process leads.
+    /// Calls `work` with the current term's state; returns `None` if this process does not lead.
     ///
-    /// Knowledge of an earlier term is dropped: another leader may have given
-    /// leases since.
-    pub fn with_office<R>(
+    /// The state of an earlier term is dropped, since another leader may have granted leases since.
+    pub fn with_leadership<R>(
         &self,
         work: impl FnOnce(duration::Instant, &mut leadership::Leadership) -> R,
     ) -> Option<R> {
         let status = self.proposer.status();
-        let binding = self.state.binding();
+        let binding_revision = self.state.binding_revision();
         let now = self.clock.now();
         let mut leadership = self.leadership.lock();
         if !status.leads {
             *leadership = None;
             return None;
         }
-        let held = leadership.take().filter(|held| held.term() == status.term);
-        let mut current = held.unwrap_or_else(|| {
+        let current = leadership
+            .take()
+            .filter(|current| current.term() == status.term);
+        let mut current = current.unwrap_or_else(|| {
             spdlog::info!("leader: takes leadership in term {}", status.term);
-            leadership::Leadership::new(status.term, now, binding)
+            leadership::Leadership::new(status.term, now, binding_revision)
         });
-        current.record_revision(now, binding);
+        current.record_revision(now, binding_revision);
         let result = work(now, &mut current);
         *leadership = Some(current);
         Some(result)
     }
 
-    /// Waits until all rely on everything that is committed now; `None` if this process
-    /// stops leading before.
+    /// Waits until everything committed by now is in force at all entries.
     ///
-    /// An entry that is gone holds this up until its lease has nearly run out, and none gets
-    /// a new one without the change, so that the wait is bounded by the lease.
-    pub(crate) async fn settle(&self) -> Option<()> {
-        let revision = self.state.binding();
+    /// Returns `None` if this process stops leading before. An entry that is gone delays the return
+    /// until its lease has nearly expired. No entry gets a new lease without the change, so the
+    /// lease bounds the wait.
+    pub(crate) async fn wait_until_in_force(&self) -> Option<()> {
+        let revision = self.state.binding_revision();
         loop {
-            let settled = self.with_office(|now, leadership| {
+            let in_force = self.with_leadership(|now, leadership| {
                 self.state
                     .read(|fleet| leadership.try_acknowledge(now, revision, fleet))
             })?;
-            if settled {
+            if in_force {
                 return Some(());
             }
-            tokio::time::sleep(SETTLE_LOOK).await;
+            tokio::time::sleep(IN_FORCE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Looks for silence until the process stops.
-    pub(crate) async fn watch(self: Arc<Self>) {
+    /// Checks for silent entries and endpoints until the process stops.
+    pub(crate) async fn run(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(PERIOD).await;
-            let look = || {
-                self.with_office(|now, leadership| {
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let check = || {
+                self.with_leadership(|now, leadership| {
                     self.state.read(|fleet| {
                         leadership.prune(now, fleet);
-                        leadership.findings(now, fleet)
+                        leadership.check_liveness(now, fleet)
                     })
                 })
             };
-            let found = self.metrics.work(metric::Work::Silence, look);
-            let Some(found) = found else {
+            let transitions = self.metrics.measure(metric::Work::Silence, check);
+            let Some(transitions) = transitions else {
                 continue;
             };
-            let endpoints = found.endpoints.into_iter().map(command::Command::Endpoint);
-            let members = found.members.into_iter().map(command::Command::Member);
-            let proposals = endpoints.chain(members).map(|command| self.note(command));
+            let endpoints = transitions
+                .endpoints
+                .into_iter()
+                .map(command::Command::Endpoint);
+            let members = transitions
+                .members
+                .into_iter()
+                .map(command::Command::Member);
+            let proposals = endpoints
+                .chain(members)
+                .map(|command| self.propose(command));
             future::join_all(proposals).await;
         }
     }
 
-    async fn note(&self, command: command::Command) {
-        spdlog::info!("leader: finds {command:?}");
+    async fn propose(&self, command: command::Command) {
+        spdlog::info!("leader: proposes {command:?}");
         if let Err(fault) = self.proposer.propose(command).await {
-            // It is found again at the next look.
-            spdlog::warn!("leader: could not note it: {}", fault.message);
+            // The next check finds it again.
+            spdlog::warn!("leader: could not commit a proposal: {}", fault.message);
         }
     }
 
-    /// Follows the store's list until the process stops.
-    pub(crate) async fn follow_store(self: Arc<Self>, store: store::Store) {
-        let mut reached = true;
+    /// Polls the weight store's list until the process stops.
+    pub(crate) async fn poll_store(self: Arc<Self>, store: store::Store) {
+        let mut reachable = true;
         loop {
-            tokio::time::sleep(STORE_PERIOD).await;
+            tokio::time::sleep(STORE_POLL_INTERVAL).await;
             if !self.proposer.status().leads {
                 continue;
             }
-            match store.list().await {
+            match store.list_models().await {
                 Ok(models) => {
-                    reached = true;
-                    self.take_list(models).await;
+                    reachable = true;
+                    self.update_catalogue(models).await;
                 }
-                Err(cause) if reached => {
-                    reached = false;
+                Err(cause) if reachable => {
+                    reachable = false;
                     spdlog::warn!("store: {cause}");
                 }
-                Err(_still_not_reached) => {}
+                Err(_still_unreachable) => {}
             }
         }
     }
 
-    async fn take_list(&self, models: Vec<cranberrygap_wire::endpoint::Weights>) {
+    async fn update_catalogue(&self, models: Vec<cranberrygap_wire::endpoint::Weights>) {
         if !self.state.read(|fleet| fleet.catalogue.differs(&models)) {
             return;
         }
         spdlog::info!("store: lists {} models", models.len());
         let command = command::Command::Catalogue(catalogue::Step { models });
         if let Err(fault) = self.proposer.propose(command).await {
-            spdlog::warn!("store: could not note the list: {}", fault.message);
+            spdlog::warn!("store: could not commit the list: {}", fault.message);
         }
     }
 }
--- a/crates/cranberrygap-control/src/lib.rs
+++ b/crates/cranberrygap-control/src/lib.rs
@@ -1,10 +1,9 @@
-//! The control process: replicated state served to entries and operators.
+//! The control process: keeps the replicated state and serves it to entries and operators.
 
 pub mod confirmation;
 pub mod delta;
 pub mod detector;
 pub mod encoded;
-pub mod followers;
 pub mod leadership;
 pub mod links;
 pub mod log;
@@ -12,6 +11,7 @@
 pub mod process;
 pub mod proposer;
 pub mod public;
+pub mod redirect;
 pub mod replica;
 pub mod replicated;
 pub mod residency;
@@ -19,13 +19,13 @@
 pub mod state_machine;
 pub mod transport;
 
+mod boots;
 mod operators;
 mod orders;
 mod peers;
 mod permission;
-mod processes;
-mod quiet;
+mod throttle;
 
-mod steward;
+mod reconciler;
 mod store;
 mod subscription;
--- a/crates/cranberrygap-control/src/public.rs
+++ b/crates/cranberrygap-control/src/public.rs
@@ -1,6 +1,6 @@
-//! Operators' and endpoints' calls, free of any form in which they arrive.
+//! Operators' and endpoints' calls, independent of the protocol they arrive in.
 //!
-//! A translator reads a call of its own form, asks here, and writes the answer.
+//! An adapter parses a call of its own protocol, uses this interface, and writes the response.
 
 use std::sync::Arc;
 
@@ -12,80 +12,80 @@
 
 use crate::peers;
 
-/// Why a call was not carried out here.
+/// Reason why a call was not carried out here.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// Another process leads; the call may be repeated there.
     #[error("{leader} leads")]
     NotLeader {
-        /// The leader, as the group's members reach it.
+        /// Leader, at the address that the group's members use.
         leader: address::Peer,
     },
-    /// Nobody is known to lead, or whether the change commits is not known.
+    /// No leader is known, or it is not known whether the change commits.
     #[error("{0}")]
     Unavailable(SmolStr),
-    /// The call is wrong, and would be wrong elsewhere.
+    /// The call is invalid, at any process.
     #[error("{0}")]
     Invalid(SmolStr),
 }
 
-/// What a translator works with.
+/// Interface of a control process for adapters of other protocols.
 #[derive(Debug, Clone)]
 pub struct Api {
-    desk: Arc<peers::Desk>,
+    context: Arc<peers::Context>,
 }
 
 impl Api {
-    pub(crate) const fn new(desk: Arc<peers::Desk>) -> Self {
-        Self { desk }
+    pub(crate) const fn new(context: Arc<peers::Context>) -> Self {
+        Self { context }
     }
 
-    /// Puts a traffic plan into force; one that is not higher changes nothing. Done once all
-    /// may rely on it.
+    /// Applies a traffic plan and waits until it is in force at all entries. A plan whose version
+    /// is not higher than the current one changes nothing.
     ///
     /// # Errors
     ///
-    /// A mistake in the plan, or this process cannot commit it.
+    /// The plan has an error, or this process cannot commit it.
     pub async fn replace_plan(&self, plan: traffic::Plan, source: SmolStr) -> Result<(), Refusal> {
-        if let Some(mistake) = state::check(&plan).first() {
-            return Err(Refusal::Invalid(SmolStr::new(mistake.to_string())));
+        if let Some(error) = state::check(&plan).first() {
+            return Err(Refusal::Invalid(SmolStr::new(error.to_string())));
         }
         let version = plan.version;
-        let held = self.leading(|fleet| fleet.traffic.version())?;
-        if held >= Some(version) {
-            // Committed already, or overtaken by a higher one.
-            return self.settle().await;
+        let current_version = self.read_as_leader(|fleet| fleet.traffic.version())?;
+        if current_version >= Some(version) {
+            // The plan is already committed, or replaced by one with a higher version.
+            return self.wait_until_in_force().await;
         }
         let step = state::Step { plan, source };
         let command = command::Command::Traffic(Box::new(step));
-        let outcome = self.desk.proposer.propose(command).await;
-        outcome.map(drop).map_err(|fault| refusal(&fault))?;
+        let outcome = self.context.proposer.propose(command).await;
+        outcome.map(drop).map_err(|fault| to_refusal(&fault))?;
         spdlog::info!("traffic: plan {version} is committed");
-        self.settle().await
+        self.wait_until_in_force().await
     }
 
-    /// Waits until all may rely on what is committed now.
-    async fn settle(&self) -> Result<(), Refusal> {
-        let settled = self.desk.detector.settle().await;
-        settled.ok_or_else(|| Refusal::Unavailable("the leader's lease ran out".into()))
+    /// Waits until everything committed by now is in force at all entries.
+    async fn wait_until_in_force(&self) -> Result<(), Refusal> {
+        let in_force = self.context.detector.wait_until_in_force().await;
+        in_force.ok_or_else(|| Refusal::Unavailable("the leader's lease expired".into()))
     }
 
-    /// The text of the plan in force; `None` before the first.
+    /// Returns the text of the plan in force; `None` before the first one.
     ///
     /// # Errors
     ///
-    /// When this process cannot be sure that it knows the newest.
+    /// When this process cannot be sure that it knows the newest plan.
     pub fn plan_source(&self) -> Result<Option<SmolStr>, Refusal> {
-        let source = self.leading(|fleet| {
-            let known = fleet.traffic.version();
-            known.map(|_version| fleet.traffic.source().clone())
+        let source = self.read_as_leader(|fleet| {
+            let current = fleet.traffic.version();
+            current.map(|_version| fleet.traffic.source().clone())
         })?;
-        // The lease may have ended while this process stood still.
+        // The lease may have ended while this process was suspended.
         self.check_leads()?;
         Ok(source)
     }
 
-    /// Takes an endpoint's announcement; done once all may rely on it.
+    /// Records an endpoint's announcement, and returns once it is in force at all entries.
     ///
     /// # Errors
     ///
@@ -96,29 +96,29 @@
             boot: announcement.boot,
             sequence: announcement.sequence,
         };
-        let news = self.leading(|fleet| is_news(fleet, &announcement))?;
+        let changed = self.read_as_leader(|fleet| is_changed(fleet, &announcement))?;
         let leaves = announcement.phase == announced::Phase::Leaving;
-        if news {
-            self.note(endpoint::Step::Announced(Box::new(announcement)))
+        if changed {
+            self.propose(endpoint::Step::Announced(Box::new(announcement)))
                 .await?;
         }
-        let heard = self
-            .desk
+        let recorded = self
+            .context
             .detector
-            .with_office(|now, leadership| leadership.hear(now, &seen));
-        heard.ok_or_else(|| Refusal::Unavailable("the leader's lease ran out".into()))?;
+            .with_leadership(|now, leadership| leadership.record_heartbeat(now, &seen));
+        recorded.ok_or_else(|| Refusal::Unavailable("the leader's lease expired".into()))?;
         if leaves {
-            // Told that it may go while an entry still sends it work, it would end with
-            // requests of callers in its queue.
-            self.settle().await?;
+            // An endpoint that is told it may stop while an entry still sends it requests would
+            // stop with requests in its queue.
+            self.wait_until_in_force().await?;
         }
         Ok(())
     }
 
-    /// An endpoint says that it leaves for good.
+    /// Removes an endpoint that announces that it leaves for good.
     ///
-    /// `started` is its start, where it tells it: a process of the same name that
-    /// started later is not meant.
+    /// `boot` is its start, if it tells it: a process of the same name that started later is not
+    /// removed.
     ///
     /// # Errors
     ///
@@ -128,58 +128,58 @@
         name: id::Endpoint,
         boot: Option<number::Boot>,
     ) -> Result<(), Refusal> {
-        let known = self.leading(|fleet| {
-            let known = fleet.endpoints.get(&name);
-            known.map(|known| known.announcement.boot)
+        let current = self.read_as_leader(|fleet| {
+            let current = fleet.endpoints.get(&name);
+            current.map(|current| current.announcement.boot)
         })?;
-        let meant = known.is_some_and(|known| boot.is_none_or(|boot| boot == known));
-        if !meant {
+        let is_known_boot = current.is_some_and(|current| boot.is_none_or(|boot| boot == current));
+        if !is_known_boot {
             return Ok(());
         }
-        self.note(endpoint::Step::Departed(name)).await?;
-        self.settle().await
+        self.propose(endpoint::Step::Departed(name)).await?;
+        self.wait_until_in_force().await
     }
 
-    /// This process, if it leads, else who does.
+    /// Fails unless this process leads.
     ///
     /// # Errors
     ///
     /// [`Refusal::NotLeader`] or [`Refusal::Unavailable`].
     pub fn check_leads(&self) -> Result<(), Refusal> {
-        let checked = self.desk.proposer.check_leads();
-        checked.map(drop).map_err(|fault| refusal(&fault))
+        let checked = self.context.proposer.check_leads();
+        checked.map(drop).map_err(|fault| to_refusal(&fault))
     }
 
-    async fn note(&self, step: endpoint::Step) -> Result<(), Refusal> {
+    async fn propose(&self, step: endpoint::Step) -> Result<(), Refusal> {
         let command = command::Command::Endpoint(step);
-        let outcome = self.desk.proposer.propose(command).await;
-        outcome.map(drop).map_err(|fault| refusal(&fault))
+        let outcome = self.context.proposer.propose(command).await;
+        outcome.map(drop).map_err(|fault| to_refusal(&fault))
     }
 
-    fn leading<R>(
+    fn read_as_leader<R>(
         &self,
         work: impl FnOnce(&cranberrygap_state::fleet::Fleet) -> R,
     ) -> Result<R, Refusal> {
         self.check_leads()?;
-        Ok(self.desk.state.read(work))
+        Ok(self.context.state.read(work))
     }
 }
 
-/// Whether an announcement says more than that its sender lives.
-fn is_news(
+/// Returns whether an announcement changes anything besides the sequence number.
+fn is_changed(
     fleet: &cranberrygap_state::fleet::Fleet,
     announcement: &announced::Announcement,
 ) -> bool {
-    let known = fleet.endpoints.get(&announcement.endpoint);
-    let Some(known) = known else {
+    let current = fleet.endpoints.get(&announcement.endpoint);
+    let Some(current) = current else {
         return true;
     };
-    let mut known = known.announcement;
-    known.sequence = announcement.sequence;
-    known != *announcement
+    let mut current = current.announcement;
+    current.sequence = announcement.sequence;
+    current != *announcement
 }
 
-fn refusal(fault: &server::Fault) -> Refusal {
+fn to_refusal(fault: &server::Fault) -> Refusal {
     if fault.code == method::REFUSED {
         return Refusal::Invalid(fault.message.clone());
     }
--- a/crates/cranberrygap-control/src/replica/request.rs
+++ b/crates/cranberrygap-control/src/replica/request.rs
@@ -1,4 +1,4 @@
-//! What the handle asks the protocol's task.
+//! Requests from the handle to the protocol's task.
 
 use bytes::Bytes;
 use cranberrygap_agreement::change;
@@ -8,13 +8,13 @@
 use super::Error;
 use crate::log;
 
-/// Answer to a proposal.
-pub(super) type Committed = oneshot::Sender<Result<log::Committed, log::Error>>;
+/// Reply channel of a proposal.
+pub(super) type ProposalReply = oneshot::Sender<Result<log::Committed, log::Error>>;
 
-/// Answer to anything else that may be refused.
-pub(super) type Done = oneshot::Sender<Result<(), Error>>;
+/// Reply channel of any other request that may be refused.
+pub(super) type Reply = oneshot::Sender<Result<(), Error>>;
 
-/// A change of the membership by instance name.
+/// Membership change by instance name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Change {
     AddLearner,
@@ -22,7 +22,7 @@
     Remove,
 }
 
-/// One request.
+/// Request to the task.
 #[derive(Debug)]
 pub(super) enum Request {
     Deliver {
@@ -31,16 +31,16 @@
     },
     Propose {
         payload: Bytes,
-        answer: Committed,
+        reply: ProposalReply,
     },
-    Change {
+    ChangeByInstance {
         change: Change,
         instance: id::Instance,
-        answer: Done,
+        reply: Reply,
     },
-    Alter(change::Change, Done),
-    Standing(oneshot::Sender<Option<super::Standing>>),
-    Transfer(Done),
+    ChangeById(change::Change, Reply),
+    GroupStatus(oneshot::Sender<Option<super::GroupStatus>>),
+    Transfer(Reply),
     Dump(oneshot::Sender<serde_json::Value>),
     Stop(oneshot::Sender<()>),
 }
--- a/crates/cranberrygap-control/src/replicated.rs
+++ b/crates/cranberrygap-control/src/replicated.rs
@@ -1,4 +1,4 @@
-//! The replicated state of this process, and news of it for subscribers.
+//! Replicated state of this process, and its updates for subscribers.
 
 use std::sync::Arc;
 
@@ -13,56 +13,56 @@
 use crate::metric;
 use crate::state_machine;
 
-/// News that a slow subscriber may be behind before it gets a new snapshot.
-const NEWS_BUFFER: usize = 1_024;
+/// Updates that a slow subscriber may be behind before it gets a new snapshot.
+const MAX_BUFFERED_UPDATES: usize = 1_024;
 
-/// News of the state.
+/// Update of the state.
 #[derive(Debug, Clone)]
-pub enum News {
-    /// These changes lead to a revision.
+pub enum Update {
+    /// Changes that lead to a revision.
     Changed(number::Revision, Arc<Vec<Arc<encoded::Change>>>),
-    /// The whole state was replaced by a leader's snapshot.
+    /// The state was replaced by a leader's snapshot.
     Replaced,
 }
 
-/// The state, applied up to what this process knows to be committed.
+/// State machine with the state up to the last entry that this process knows to be committed.
 #[derive(Debug)]
 pub struct State {
     fleet: RwLock<fleet::Fleet>,
-    news: broadcast::Sender<News>,
+    updates: broadcast::Sender<Update>,
     metrics: metric::Recorder,
 }
 
 impl State {
-    /// An empty state.
+    /// Creates an empty state.
     #[must_use]
     pub fn new(metrics: metric::Recorder) -> Self {
         Self {
             metrics,
             fleet: RwLock::default(),
-            news: broadcast::Sender::new(NEWS_BUFFER),
+            updates: broadcast::Sender::new(MAX_BUFFERED_UPDATES),
         }
     }
 
-    /// Reads the state; short work only, since nothing is applied meanwhile.
+    /// Calls `work` with the state; `work` must be short, since no entry is applied meanwhile.
     pub fn read<R>(&self, work: impl FnOnce(&fleet::Fleet) -> R) -> R {
         work(&self.fleet.read())
     }
 
-    /// The whole view and everything that comes after it.
+    /// Returns a snapshot of the view and a receiver of all later updates.
     #[must_use]
-    pub fn subscribe(&self) -> (view::Frame, broadcast::Receiver<News>) {
+    pub fn subscribe(&self) -> (view::Frame, broadcast::Receiver<Update>) {
         let fleet = self.fleet.read();
-        let news = self.news.subscribe();
+        let update = self.updates.subscribe();
         let frame = view::Frame::Snapshot {
             revision: fleet.view_revision,
             state: fleet.view(),
         };
         drop(fleet);
-        (frame, news)
+        (frame, update)
     }
 
-    /// Number of control processes beside one.
+    /// Returns the number of control processes besides one.
     #[must_use]
     pub fn other_controls(&self) -> usize {
         let fleet = self.fleet.read();
@@ -73,21 +73,21 @@
         controls.count().saturating_sub(1)
     }
 
-    /// Number of subscribers.
+    /// Returns the number of subscribers.
     #[must_use]
-    pub fn followers(&self) -> usize {
-        self.news.receiver_count()
+    pub fn subscribers(&self) -> usize {
+        self.updates.receiver_count()
     }
 
-    /// Revision of the last change that entries must have in force to get a lease.
+    /// Returns the revision of the last change that an entry must have to get a lease.
     #[must_use]
-    pub fn binding(&self) -> number::Revision {
+    pub fn binding_revision(&self) -> number::Revision {
         self.fleet.read().binding_revision
     }
 
-    /// Revision of the last change that entries learn of.
+    /// Returns the revision of the last change of the view.
     #[must_use]
-    pub fn seen(&self) -> number::Revision {
+    pub fn view_revision(&self) -> number::Revision {
         self.fleet.read().view_revision
     }
 }
@@ -101,25 +101,25 @@
 impl state_machine::StateMachine for State {
     fn apply(&self, index: number::Index, payload: &[u8]) -> Bytes {
         self.metrics
-            .work(metric::Work::Apply, || self.take(index, payload))
+            .measure(metric::Work::Apply, || self.apply_payload(index, payload))
     }
 
     fn snapshot(&self) -> Bytes {
         let snapshot = || Bytes::from(self.fleet.read().snapshot());
-        self.metrics.work(metric::Work::Snapshot, snapshot)
+        self.metrics.measure(metric::Work::Snapshot, snapshot)
     }
 
     fn restore(&self, _index: number::Index, snapshot: &[u8]) -> Result<(), String> {
         let restored = fleet::Fleet::restore(snapshot).map_err(|cause| cause.to_string())?;
         let mut fleet = self.fleet.write();
         *fleet = restored;
-        drop(self.news.send(News::Replaced));
+        drop(self.updates.send(Update::Replaced));
         Ok(())
     }
 }
 
 impl State {
-    fn take(&self, index: number::Index, payload: &[u8]) -> Bytes {
+    fn apply_payload(&self, index: number::Index, payload: &[u8]) -> Bytes {
         let answer = match serde_json::from_slice::<command::Proposal>(payload) {
             Ok(proposal) => {
                 let subject = proposal.command.subject();
@@ -130,27 +130,27 @@
                     let changes = changes
                         .into_iter()
                         .map(|change| Arc::new(encoded::Change::new(change)));
-                    let news = News::Changed(fleet.view_revision, Arc::new(changes.collect()));
-                    // Sent under the lock, so that no subscriber misses it. Fails
-                    // only while there is no subscriber.
-                    drop(self.news.send(news));
+                    let update = Update::Changed(fleet.view_revision, Arc::new(changes.collect()));
+                    // The update is sent under the lock, so that no subscriber misses it. Sending
+                    // fails only if there are no subscribers.
+                    drop(self.updates.send(update));
                 }
                 answer
             }
-            // A replica of an older version does not know the command. Leaving it
-            // out would make the replicas differ, without anybody noticing.
+            // A replica of an older version does not know the command. If it skipped the command,
+            // the replicas would diverge unnoticed.
             Err(cause) => panic!("the log holds a command that this version cannot read: {cause}"),
         };
         Bytes::from(serde_json::to_vec(&answer).expect("answers have text keys only"))
     }
 }
 
-/// Reads the answer of [`State::apply`].
+/// Decodes the answer of [`state_machine::StateMachine::apply`].
 ///
 /// # Panics
 ///
 /// When the bytes are not an answer, which `apply` rules out.
 #[must_use]
-pub fn answer(bytes: &[u8]) -> answer::Answer {
+pub fn decode_answer(bytes: &[u8]) -> answer::Answer {
     serde_json::from_slice(bytes).expect("the state machine answers in this form")
 }
--- a/crates/cranberrygap-control/src/store.rs
+++ b/crates/cranberrygap-control/src/store.rs
@@ -1,40 +1,40 @@
-//! Reads the weight store's list.
+//! Client that reads the weight store's list.
 
 use std::time::Duration;
 
 use cranberrygap_model::address;
 use cranberrygap_wire::endpoint;
 
-/// Longest time for one reading.
-const DEADLINE: Duration = Duration::from_secs(5);
+/// Timeout of one request.
+const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest list that is taken, in bytes; 4,096 models stay below it.
-const LARGEST_LIST: usize = 4 << 20;
+/// Largest list that is read, in bytes; 4,096 models stay below it.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// A weight store.
+/// Client of a weight store.
 #[derive(Debug, Clone)]
 pub(crate) struct Store {
     http: reqwest::Client,
     url: String,
 }
 
-/// Why the list could not be read.
+/// Reason why the list could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     #[error("the store does not answer: {0}")]
     Http(#[from] reqwest::Error),
-    #[error("the store's list is not in the expected form: {0}")]
-    Form(#[from] serde_json::Error),
-    #[error("the store's list has more than {LARGEST_LIST} bytes")]
+    #[error("the store's list is malformed: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error("the store's list has more than {MAX_LIST_BYTES} bytes")]
     TooLarge,
 }
 
 impl Store {
     pub(crate) fn new(address: address::Socket) -> Result<Self, Error> {
-        // A fresh connection each time: a pooled one may be silently dead, and
-        // the list is read once a second only.
+        // A pooled connection may be dead without notice, and the list is read only once a second,
+        // so each request opens a new one.
         let http = reqwest::Client::builder()
-            .timeout(DEADLINE)
+            .timeout(LIST_TIMEOUT)
             .pool_max_idle_per_host(0)
             .no_proxy()
             .build()?;
@@ -42,13 +42,13 @@
         Ok(Self { http, url })
     }
 
-    pub(crate) async fn list(&self) -> Result<Vec<endpoint::Weights>, Error> {
-        let answer = self.http.get(&self.url).send().await?;
-        let mut answer = answer.error_for_status()?;
+    pub(crate) async fn list_models(&self) -> Result<Vec<endpoint::Weights>, Error> {
+        let response = self.http.get(&self.url).send().await?;
+        let mut response = response.error_for_status()?;
         let mut body = Vec::new();
-        while let Some(part) = answer.chunk().await? {
-            body.extend_from_slice(&part);
-            if body.len() > LARGEST_LIST {
+        while let Some(chunk) = response.chunk().await? {
+            body.extend_from_slice(&chunk);
+            if body.len() > MAX_LIST_BYTES {
                 return Err(Error::TooLarge);
             }
         }
--- a/crates/cranberrygap-control/tests/confirmation.rs
+++ b/crates/cranberrygap-control/tests/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmations while the log stands still.
+//! Handling of confirmations while commits are delayed.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -16,12 +16,12 @@
 use futures_util::future::{self, BoxFuture};
 
 /// Time from the start of the term to the confirmation.
-const BEFORE: Duration = Duration::from_millis(50);
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(50);
 
-/// Time for which the commits are waited for.
-const WAIT: Duration = Duration::from_millis(20);
+/// Longest time that an answer is waited for.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A log of a leader whose disk hangs.
+/// Log of a leader whose disk hangs.
 #[derive(Debug)]
 struct HungLog;
 
@@ -41,17 +41,17 @@
     }
 }
 
-/// A leader that knows one entry and one runner, at the start of its term.
+/// Leader that knows one entry and one runner, at the start of its term.
 struct Leader {
     state: Arc<replicated::State>,
     detector: Arc<detector::Detector>,
-    confirmations: confirmation::Confirmations,
+    confirmations: confirmation::Handler,
     start: duration::Instant,
 }
 
 impl Leader {
     fn new() -> Self {
-        let state = Arc::new(known());
+        let state = Arc::new(state_with_one_of_each());
         let proposer = proposer::Proposer::new(Arc::new(HungLog));
         let metrics = metric::Recorder::none();
         let detector = detector::Detector::new(
@@ -61,13 +61,13 @@
             metrics.clone(),
         );
         let detector = Arc::new(detector);
-        let confirmations = confirmation::Confirmations::new(
+        let confirmations = confirmation::Handler::new(
             Arc::clone(&state),
             proposer,
             Arc::clone(&detector),
             metrics,
         );
-        let start = detector.with_office(|now, _leadership| now).unwrap();
+        let start = detector.with_leadership(|now, _leadership| now).unwrap();
         Self {
             state,
             detector,
@@ -76,21 +76,24 @@
         }
     }
 
-    /// Whether a confirmation that comes later in the term is answered.
-    async fn answers(&self, confirm: &view::Confirm) -> bool {
-        tokio::time::sleep(BEFORE).await;
-        let taken = self.confirmations.take(confirm);
-        tokio::time::timeout(WAIT, taken).await.is_ok()
+    /// Returns whether a confirmation that arrives later in the term is answered.
+    async fn is_answered(&self, confirm: &view::Confirm) -> bool {
+        tokio::time::sleep(CONFIRMATION_DELAY).await;
+        let taken = self.confirmations.handle(confirm);
+        tokio::time::timeout(ANSWER_TIMEOUT, taken).await.is_ok()
     }
 
-    /// What is found when `silence` has passed since the start of the term, and a little.
-    fn findings(&self, silence: duration::Span) -> leadership::Findings {
+    /// Returns the transitions due one millisecond after `silence` since the start of the term.
+    fn transitions_after(&self, silence: duration::Span) -> leadership::Transitions {
         let at = self.start.after(silence);
         let at = at.after(duration::Span::from_millis(1));
-        let look = |leadership: &mut leadership::Leadership| {
-            self.state.read(|fleet| leadership.findings(at, fleet))
+        let check = |leadership: &mut leadership::Leadership| {
+            self.state
+                .read(|fleet| leadership.check_liveness(at, fleet))
         };
-        self.detector.with_office(|_now, held| look(held)).unwrap()
+        self.detector
+            .with_leadership(|_now, leadership| check(leadership))
+            .unwrap()
     }
 
     fn endpoint_silence(&self) -> duration::Span {
@@ -98,7 +101,7 @@
     }
 }
 
-fn known() -> replicated::State {
+fn state_with_one_of_each() -> replicated::State {
     let confirm = fleet::confirm(number::Revision(0));
     let member = view::Member {
         instance: confirm.instance,
@@ -133,18 +136,19 @@
     serde_json::from_value(announcement).unwrap()
 }
 
-/// A confirmation with news, which have to be committed.
-fn confirm(news: endpoint::Announcement) -> view::Confirm {
+/// Returns a confirmation with an announcement that has to be committed.
+fn confirm(announcement: endpoint::Announcement) -> view::Confirm {
     view::Confirm {
-        announcements: vec![news],
+        announcements: vec![announcement],
         ..fleet::confirm(number::Revision(0))
     }
 }
 
-// The leader's disk hangs for seconds while new endpoints come: all healthy ones whose
-// heartbeats come with the news would get no requests.
+// The leader's disk hangs for seconds while new endpoints are announced. Healthy endpoints whose
+// heartbeats arrive in the same confirmations must not become suspect, or they would get no
+// requests.
 #[tokio::test]
-async fn heartbeat_is_heard_while_commits_wait() {
+async fn heartbeat_is_recorded_while_commits_wait() {
     let leader = Leader::new();
     let heartbeat = view::Seen {
         endpoint: "runner-1".parse().unwrap(),
@@ -156,54 +160,64 @@
         ..confirm(announcement("runner-2", 1))
     };
 
-    let answered = leader.answers(&confirm).await;
+    let is_answered = leader.is_answered(&confirm).await;
 
-    let found = leader.findings(leader.endpoint_silence()).endpoints;
-    assert!(!answered, "the log takes nothing");
-    assert_eq!(found, []);
+    let transitions = leader
+        .transitions_after(leader.endpoint_silence())
+        .endpoints;
+    assert!(!is_answered, "the log commits nothing");
+    assert_eq!(transitions, []);
 }
 
-// The same of an endpoint that has news itself.
+// As above, for an endpoint whose own announcement waits for its commit.
 #[tokio::test]
-async fn announcement_is_heard_while_its_commit_waits() {
+async fn announcement_is_recorded_while_its_commit_waits() {
     let leader = Leader::new();
 
-    let answered = leader.answers(&confirm(announcement("runner-1", 2))).await;
+    let is_answered = leader
+        .is_answered(&confirm(announcement("runner-1", 2)))
+        .await;
 
-    let found = leader.findings(leader.endpoint_silence()).endpoints;
-    assert!(!answered, "the log takes nothing");
-    assert_eq!(found, []);
+    let transitions = leader
+        .transitions_after(leader.endpoint_silence())
+        .endpoints;
+    assert!(!is_answered, "the log commits nothing");
+    assert_eq!(transitions, []);
 }
 
-// The same of the entry that passes them on: it would leave the address list, and its running
-// bookings would be taken for lost.
+// As above, for the entry that sends the confirmations: it would leave the address list, and its
+// running bookings would be taken for lost.
 #[tokio::test]
-async fn entry_is_heard_while_its_commits_wait() {
+async fn entry_is_recorded_while_its_commits_wait() {
     let leader = Leader::new();
 
-    let answered = leader.answers(&confirm(announcement("runner-2", 1))).await;
+    let is_answered = leader
+        .is_answered(&confirm(announcement("runner-2", 1)))
+        .await;
 
-    let found = leader.findings(leadership::ABSENCE).members;
-    assert!(!answered, "the log takes nothing");
-    assert_eq!(found, []);
+    let transitions = leader.transitions_after(leadership::ENTRY_TIMEOUT).members;
+    assert!(!is_answered, "the log commits nothing");
+    assert_eq!(transitions, []);
 }
 
-// Hearing is all: a lease that is given before the entry's boot is in the log would be
-// unknown to the next leader.
+// Recording liveness must not grant a lease: the next leader would not know of a lease that was
+// granted before the entry's boot is in the log.
 #[tokio::test]
-async fn no_lease_is_given_while_commits_wait() {
+async fn no_lease_is_granted_while_commits_wait() {
     let leader = Leader::new();
 
-    let answered = leader.answers(&confirm(announcement("runner-2", 1))).await;
+    let is_answered = leader
+        .is_answered(&confirm(announcement("runner-2", 1)))
+        .await;
 
-    let inherited = leadership::LEASE.0 + leadership::DRIFT.0;
+    let inherited = leadership::LEASE.0 + leadership::CLOCK_DRIFT.0;
     let end = leader.start.after(duration::Span(inherited));
-    let waiting = leader.detector.with_office(|_now, leadership| {
+    let waiting = leader.detector.with_leadership(|_now, leadership| {
         let revision = number::Revision(u64::MAX);
         leader
             .state
-            .read(|fleet| leadership.waiting(end, revision, fleet))
+            .read(|fleet| leadership.entries_behind(end, revision, fleet))
     });
-    assert!(!answered, "the log takes nothing");
+    assert!(!is_answered, "the log commits nothing");
     assert_eq!(waiting, Some(Vec::new()));
 }
--- a/crates/cranberrygap-control/tests/fleet/mod.rs
+++ b/crates/cranberrygap-control/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Control processes in this process, with clients for entries and operators.
+//! Control processes run inside the test process, with clients for entries and operators.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -15,11 +15,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Far beyond what anything here takes, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+/// Deadline far beyond what any step of a test takes, also on a busy host.
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
-const CALL: duration::Span = duration::Span::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: duration::Span = duration::Span::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub fn fleet_secret() -> credential::Secret {
     credential::Secret::new(b"fleet-0123456789abcdef").unwrap()
@@ -69,7 +69,7 @@
             fleet: vec![fleet_secret()],
             operators: vec![operator_secret()],
         };
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             let settings = self.settings[position].clone();
             match process::Process::start(settings, secrets.clone()).await {
@@ -77,15 +77,15 @@
                     self.running[position] = Some(started);
                     return;
                 }
-                // The thread for the disk of the one before may still hold the
-                // folder, or the port is not free yet.
+                // The storage thread of the previous process may still hold the folder, or the port
+                // may not be free yet.
                 Err(cause) => assert!(tokio::time::Instant::now() < deadline, "{cause}"),
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Adds a process that waits to be added to the group.
+    /// Starts another process that waits to be added to the group.
     pub async fn join(&mut self, name: &str) -> address::Peer {
         let [port] = free_ports(1).try_into().unwrap();
         let own: address::Peer = format!("{name}@127.0.0.1:{port}").parse().unwrap();
@@ -97,11 +97,11 @@
         own
     }
 
-    /// Position of the leader, once there is one.
+    /// Waits for a leader and returns its position.
     pub async fn leader(&self) -> usize {
         until(|| {
             let mut running = self.running.iter();
-            running.position(|found| found.as_ref().is_some_and(process::Process::leads))
+            running.position(|process| process.as_ref().is_some_and(process::Process::leads))
         })
         .await
     }
@@ -110,48 +110,48 @@
         self.running[position].take().unwrap().stop().await;
     }
 
-    /// Asks as an operator, wherever the leader is, until there is an answer.
-    pub async fn ask<P: Serialize + Sync, R: DeserializeOwned>(
+    /// Calls the leader as an operator; tries again while the leader changes.
+    pub async fn call_as_operator<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
     ) -> Result<R, Error> {
-        self.ask_leader(method, params, credential::Role::Operator)
+        self.call_leader(method, params, credential::Role::Operator)
             .await
     }
 
-    /// Asks as an entry.
-    pub async fn tell<P: Serialize + Sync, R: DeserializeOwned>(
+    /// Calls the leader as an entry; tries again while the leader changes.
+    pub async fn call_as_entry<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
     ) -> Result<R, Error> {
-        self.ask_leader(method, params, credential::Role::Fleet)
+        self.call_leader(method, params, credential::Role::Fleet)
             .await
     }
 
-    async fn ask_leader<P: Serialize + Sync, R: DeserializeOwned>(
+    async fn call_leader<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
         role: credential::Role,
     ) -> Result<R, Error> {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             let position = self.leader().await;
             let outcome = match self.client(position, role).await {
-                Ok(client) => client.call(method, params, CALL).await,
+                Ok(client) => client.call(method, params, CALL_TIMEOUT).await,
                 Err(cause) => Err(cause),
             };
-            let elsewhere = match &outcome {
+            let is_not_leader = match &outcome {
                 Err(Error::Refused { code, .. }) => *code == method::NOT_LEADER,
                 Err(cause) => cause.not_sent(),
                 Ok(_) => false,
             };
-            if !elsewhere || tokio::time::Instant::now() > deadline {
+            if !is_not_leader || tokio::time::Instant::now() > deadline {
                 return outcome;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -178,7 +178,9 @@
             key: secret.key().clone(),
             hash: secret.hash(),
         };
-        self.ask(method::KEY_ISSUE, &issue).await.unwrap()
+        self.call_as_operator(method::KEY_ISSUE, &issue)
+            .await
+            .unwrap()
     }
 
     pub async fn withdraw(&self, change: &str, secret: &key::Secret) -> operator::Withdrawn {
@@ -186,7 +188,9 @@
             author: author(change),
             key: secret.key().clone(),
         };
-        self.ask(method::KEY_WITHDRAW, &withdraw).await.unwrap()
+        self.call_as_operator(method::KEY_WITHDRAW, &withdraw)
+            .await
+            .unwrap()
     }
 }
 
@@ -202,7 +206,7 @@
     key::Secret::new([number; key::RANDOM_BYTES])
 }
 
-/// An entry's confirmation that `revision` is in force there.
+/// Returns an entry's confirmation that `revision` is in force there.
 pub fn confirm(revision: number::Revision) -> view::Confirm {
     view::Confirm {
         instance: "entry-1".parse().unwrap(),
@@ -219,15 +223,15 @@
     }
 }
 
-/// Polls until there is something.
-pub async fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
+/// Calls `poll` repeatedly until it returns a value.
+pub async fn until<T>(mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look() {
-            return found;
+        if let Some(process) = poll() {
+            return process;
         }
         assert!(tokio::time::Instant::now() < deadline, "waited in vain");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -248,13 +252,13 @@
     serde_json::from_value(text).unwrap()
 }
 
-/// Ports that nobody listens on at this moment.
+/// Returns ports that nothing listens on at this moment.
 fn free_ports(count: usize) -> Vec<u16> {
     let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
     let ports = listeners
         .iter()
-        .map(|found| found.local_addr().unwrap().port());
+        .map(|process| process.local_addr().unwrap().port());
     ports.collect()
 }
--- a/crates/cranberrygap-control/tests/leadership.rs
+++ b/crates/cranberrygap-control/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader grants and notices, as a pure step by step.
+//! Leases, acknowledgements and liveness of one leader's term, without I/O.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -18,12 +18,12 @@
     number::Revision(number)
 }
 
-fn new_office() -> leadership::Leadership {
+fn new_leadership() -> leadership::Leadership {
     leadership::Leadership::new(number::Term(1), START, revision(5))
 }
 
-/// A fleet of one entry and one runner.
-fn known() -> state::Fleet {
+/// Returns a fleet with one entry and one runner.
+fn fleet_with_one_of_each() -> state::Fleet {
     let mut fleet = state::Fleet::default();
     let confirm = fleet::confirm(revision(0));
     let member = view::Member {
@@ -62,19 +62,19 @@
 }
 
 #[test]
-fn entry_that_is_current_gets_a_lease() {
-    let mut leadership = new_office();
+fn entry_with_a_current_view_gets_a_lease() {
+    let mut leadership = new_leadership();
 
     let lease = leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
     assert_eq!(lease, leadership::LEASE);
 }
 
-// An entry follows a control process that was cut off, yet still reaches the
-// leader. With leases it would go on accepting a key that was withdrawn.
+// An entry receives its view from a control process that is cut off, but still reaches the leader.
+// With leases it would go on accepting a withdrawn key.
 #[test]
-fn entry_whose_view_stands_still_gets_no_lease() {
-    let mut leadership = new_office();
+fn entry_with_a_stale_view_gets_no_lease() {
+    let mut leadership = new_leadership();
     leadership.record_revision(at(10), revision(6));
 
     let within = leadership.grant_lease(at(100), &fleet::confirm(revision(5)));
@@ -85,28 +85,28 @@
 }
 
 #[test]
-fn revision_waits_for_an_entry_until_its_lease_ran_out() {
-    let mut leadership = new_office();
-    let fleet = known();
+fn revision_waits_for_an_entry_until_its_lease_ends() {
+    let mut leadership = new_leadership();
+    let fleet = fleet_with_one_of_each();
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
-    let during = leadership.waiting(at(2_449), revision(6), &fleet);
-    let after = leadership.waiting(at(2_450), revision(6), &fleet);
+    let during = leadership.entries_behind(at(2_449), revision(6), &fleet);
+    let after = leadership.entries_behind(at(2_450), revision(6), &fleet);
 
     assert_eq!(during.len(), 1);
     assert!(after.is_empty());
 }
 
-// A leader takes over right after its predecessor gave an entry a lease. It
-// must not tell an operator that a withdrawn key is out of use everywhere while
-// that entry, of which it has not heard, still serves.
+// A leader takes over right after its predecessor granted a lease to an entry. It must not report
+// that a withdrawn key is out of use everywhere while that entry, not heard yet in this term, still
+// serves.
 #[test]
 fn new_leader_waits_for_leases_of_its_predecessor() {
-    let leadership = new_office();
-    let fleet = known();
+    let leadership = new_leadership();
+    let fleet = fleet_with_one_of_each();
 
-    let early = leadership.waiting(at(2_449), revision(5), &fleet);
-    let late = leadership.waiting(at(2_450), revision(5), &fleet);
+    let early = leadership.entries_behind(at(2_449), revision(5), &fleet);
+    let late = leadership.entries_behind(at(2_450), revision(5), &fleet);
 
     assert_eq!(early.len(), 1);
     assert!(late.is_empty());
@@ -114,19 +114,23 @@
 
 #[test]
 fn confirmed_revision_does_not_wait() {
-    let mut leadership = new_office();
+    let mut leadership = new_leadership();
     leadership.grant_lease(at(0), &fleet::confirm(revision(6)));
 
-    assert!(leadership.waiting(at(1), revision(6), &known()).is_empty());
+    assert!(
+        leadership
+            .entries_behind(at(1), revision(6), &fleet_with_one_of_each())
+            .is_empty()
+    );
 }
 
-// The source of an entry's view stands still, a change is committed, and the leader stands
-// still right after its answer. Told before the entry's lease is nearly out, an operator
-// would see a withdrawn key work for longer than two seconds.
+// The source of an entry's view freezes, a change is committed, and the leader freezes right after
+// its answer. If the answer came before the entry's lease has nearly expired, a withdrawn key would
+// work for more than two seconds after it.
 #[test]
 fn change_is_acknowledged_once_little_is_left_of_each_lease() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     fleet.view_revision = revision(6);
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
@@ -139,21 +143,20 @@
 
 #[test]
 fn change_that_all_confirmed_is_acknowledged_at_once() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     fleet.view_revision = revision(6);
     leadership.grant_lease(at(0), &fleet::confirm(revision(6)));
 
     assert!(leadership.try_acknowledge(at(1), revision(6), &fleet));
 }
 
-// The last lease of an entry is nearly out and a change is acknowledged. A heartbeat that
-// was sent before the entry had the change must not bring it a new lease, however short
-// the time since the commit.
+// The last lease of an entry has nearly expired and a change is acknowledged. A confirmation that
+// was sent before the entry had the change must not bring a new lease, however recent the commit.
 #[test]
 fn view_before_an_acknowledged_change_gets_no_lease() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
     fleet.view_revision = revision(6);
     leadership.record_revision(at(2_000), revision(6));
@@ -164,12 +167,12 @@
     assert_eq!(lease, duration::Span(0));
 }
 
-// A leader takes over and hears from an entry whose view is old. The lease that its
-// predecessor gave runs on, though this leader gives none.
+// A leader takes over and hears from an entry with an old view. It grants no lease, but must still
+// count the one that its predecessor granted.
 #[test]
 fn lease_of_a_predecessor_counts_after_a_confirmation_without_one() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     fleet.view_revision = revision(6);
     leadership.record_revision(at(0), revision(6));
     leadership.grant_lease(at(10), &fleet::confirm(revision(4)));
@@ -178,55 +181,60 @@
     assert!(leadership.try_acknowledge(at(950), revision(6), &fleet));
 }
 
-// An endpoint's process dies without a word; its heartbeats stop.
+// An endpoint's process dies and its heartbeats stop.
 #[test]
-fn silent_endpoint_becomes_suspect_and_an_audible_one_does_not() {
-    let mut leadership = new_office();
-    let fleet = known();
-    leadership.hear(at(2_000), &seen(2));
+fn silent_endpoint_becomes_suspect_and_a_heard_one_does_not() {
+    let mut leadership = new_leadership();
+    let fleet = fleet_with_one_of_each();
+    leadership.record_heartbeat(at(2_000), &seen(2));
 
-    let audible = leadership.findings(at(4_000), &fleet).endpoints;
-    let silent = leadership.findings(at(5_001), &fleet).endpoints;
+    let heard = leadership.check_liveness(at(4_000), &fleet).endpoints;
+    let silent = leadership.check_liveness(at(5_001), &fleet).endpoints;
 
-    assert!(audible.is_empty());
+    assert!(heard.is_empty());
     assert_eq!(silent, [endpoint::Step::Silent(seen(2))]);
 }
 
 #[test]
 fn suspect_that_is_heard_again_is_ready() {
-    let mut leadership = new_office();
-    let mut fleet = known();
+    let mut leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     let command = command::Command::Endpoint(endpoint::Step::Silent(seen(1)));
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
-    leadership.hear(at(9_000), &seen(7));
+    leadership.record_heartbeat(at(9_000), &seen(7));
 
-    let found = leadership.findings(at(9_100), &fleet).endpoints;
+    let transitions = leadership.check_liveness(at(9_100), &fleet).endpoints;
 
-    assert_eq!(found, [endpoint::Step::Heard(seen(7))]);
+    assert_eq!(transitions, [endpoint::Step::Heard(seen(7))]);
 }
 
 #[test]
 fn entry_that_is_gone_leaves_the_address_list() {
-    let leadership = new_office();
+    let leadership = new_leadership();
 
-    let found = leadership.findings(at(4_501), &known()).members;
+    let transitions = leadership
+        .check_liveness(at(4_501), &fleet_with_one_of_each())
+        .members;
 
-    assert!(matches!(found.as_slice(), [member::Step::Gone { .. }]));
+    assert!(matches!(
+        transitions.as_slice(),
+        [member::Step::Gone { .. }]
+    ));
 }
 
-// An operator drains an endpoint, and a cut keeps its heartbeats away for a
-// while. Forgotten, it would be back in service once the cut ends.
+// An operator drains an endpoint, and a network partition holds back its heartbeats for a while. If
+// the endpoint were forgotten, it would be back in service when the partition ends.
 #[test]
 fn drained_endpoint_is_not_forgotten_when_it_falls_silent() {
-    let leadership = new_office();
-    let mut fleet = known();
+    let leadership = new_leadership();
+    let mut fleet = fleet_with_one_of_each();
     let author = fleet::author("c-1");
     let name = "runner-1".into();
     let command = command::Command::Drain(operator::Drain { author, name });
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
 
-    let silent = leadership.findings(at(10_000), &fleet).endpoints;
-    let long_silent = leadership.findings(at(600_001), &fleet).endpoints;
+    let silent = leadership.check_liveness(at(10_000), &fleet).endpoints;
+    let long_silent = leadership.check_liveness(at(600_001), &fleet).endpoints;
 
     assert!(silent.is_empty());
     assert!(matches!(
@@ -236,9 +244,9 @@
 }
 
 #[test]
-fn names_of_the_past_take_no_room() {
-    let mut leadership = new_office();
-    leadership.hear(at(0), &seen(1));
+fn records_of_forgotten_names_are_dropped() {
+    let mut leadership = new_leadership();
+    leadership.record_heartbeat(at(0), &seen(1));
     leadership.grant_lease(at(0), &fleet::confirm(revision(5)));
 
     leadership.prune(at(700_000), &state::Fleet::default());
@@ -248,18 +256,18 @@
     assert_eq!(dump["endpoints"], serde_json::json!([]));
 }
 
-// News of what engines hold come fifty times a second; an entry that is behind by such a
-// one alone must keep its lease.
+// Changes of the adapters on runners come fifty times a second. An entry that lacks only such a
+// change must keep its lease.
 #[test]
-fn news_of_adapters_cost_no_entry_its_lease() {
-    let mut fleet = known();
-    let told = view::Residency {
+fn change_of_adapters_costs_no_entry_its_lease() {
+    let mut fleet = fleet_with_one_of_each();
+    let residency = view::Residency {
         endpoint: "runner-1".parse().unwrap(),
         boot: number::Boot(1),
         retiring: Vec::new(),
         adapters: vec!["model/a1".parse().unwrap()],
     };
-    let command = command::Command::Residency(told);
+    let command = command::Command::Residency(residency);
     fleet.apply(number::Index(9), &command::Proposal { at: 9, command });
     let mut leadership =
         leadership::Leadership::new(number::Term(1), START, fleet.binding_revision);
@@ -271,10 +279,10 @@
     assert_eq!(lease, leadership::LEASE);
 }
 
-// An endpoint that leaves is told so once entries send it nothing more.
+// A leaving endpoint is told that it may stop only when entries no longer send it requests.
 #[test]
-fn leaving_endpoint_is_waited_for() {
-    let mut fleet = known();
+fn drain_of_an_endpoint_is_a_binding_change() {
+    let mut fleet = fleet_with_one_of_each();
     let author = fleet::author("c-1");
     let name = "runner-1".into();
     let command = command::Command::Drain(operator::Drain { author, name });
--- a/crates/cranberrygap-control/tests/limits_takeover.rs
+++ b/crates/cranberrygap-control/tests/limits_takeover.rs
@@ -1,4 +1,4 @@
-//! A new leader's tokens beside those that an entry goes on to lend under its lease.
+//! Tokens of a new leader besides those that an entry still lends under its lease.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use std::collections::BTreeMap;
@@ -12,9 +12,9 @@
 const BURST: u64 = 100_000;
 const COST: u64 = 500;
 
-/// When the second leader takes over.
-const TAKEOVER: u64 = 3_500;
-const END: u64 = 5_500;
+/// Time at which the second leader takes over, in milliseconds.
+const TAKEOVER_MILLIS: u64 = 3_500;
+const END_MILLIS: u64 = 5_500;
 
 fn at(millis: u64) -> duration::Instant {
     duration::Instant(millis * 1_000)
@@ -43,9 +43,14 @@
 }
 
 fn successor(logged: &state::Shares) -> granter::Granter {
-    let known = BTreeMap::from([(workspace(), limit())]);
+    let limits_by_workspace = BTreeMap::from([(workspace(), limit())]);
     let logged: Vec<share::Allocation> = logged.iter().cloned().collect();
-    granter::Granter::new(at(TAKEOVER), number::Term(2), &known, &logged)
+    granter::Granter::new(
+        at(TAKEOVER_MILLIS),
+        number::Term(2),
+        &limits_by_workspace,
+        &logged,
+    )
 }
 
 fn entry(text: &str, boot: u64, lender: Option<&str>) -> holder::Holder {
@@ -55,7 +60,7 @@
     holder
 }
 
-/// The leader's answer, once what it leads to is in the log.
+/// Returns the leader's answer after logging its records.
 fn answer(
     granter: &mut granter::Granter,
     log: &mut state::Shares,
@@ -69,12 +74,12 @@
     answer.granted
 }
 
-/// Sends what callers ask for, more than the rate; gives the admitted tokens.
+/// Requests more tokens than the rate allows and returns how many were admitted.
 fn admitted(holder: &mut holder::Holder, now: duration::Instant) -> u64 {
-    let patience = holder::MaxWait::uniform(duration::Span::from_millis(200));
+    let max_wait = holder::MaxWait::uniform(duration::Span::from_millis(200));
     let mut tokens = 0;
     for _request in 0..2 {
-        let verdict = holder.admit(now, &workspace(), token::Count(COST), patience);
+        let verdict = holder.admit(now, &workspace(), token::Count(COST), max_wait);
         tokens += u64::from(matches!(verdict, holder::Admission::Admitted(_))) * COST;
     }
     let decided = holder.poll(now).into_iter();
@@ -84,11 +89,11 @@
     tokens + late * COST
 }
 
-// An entry that lends and has a share of its own loses its contact to the control processes
-// when a new leader takes over. Its lease runs on, so callers there get what it holds; the
-// new leader must not give the same to others before that lease has ended.
+// An entry that lends and has a share of its own loses contact with the control processes when a
+// new leader takes over. Callers there get the tokens it holds until its lease ends, so the new
+// leader must not grant the same tokens to others before.
 #[test]
-fn new_leader_gives_nothing_that_an_entry_may_lend() {
+fn new_leader_grants_no_tokens_that_an_entry_may_lend() {
     let mut log = state::Shares::default();
     let mut first = leader();
     let mut lending = lending::Lender::new(name("lender"), number::Boot(1));
@@ -97,10 +102,10 @@
     let mut other = entry("other", 2, None);
     let mut second = None;
     let mut spent = 0;
-    for millis in (0..END).step_by(5) {
+    for millis in (0..END_MILLIS).step_by(5) {
         let now = at(millis);
-        let before = millis < TAKEOVER;
-        if before {
+        let before_takeover = millis < TAKEOVER_MILLIS;
+        if before_takeover {
             if lending.next_renewal_at() <= now {
                 let renewal = lending.begin_renewal(now);
                 let granted = answer(&mut first, &mut log, now, &renewal);
@@ -111,7 +116,7 @@
                 let granted = answer(&mut first, &mut log, now, &renewal);
                 own.apply_grants(now, &granted);
             }
-            // A light load, so that the entry's own share is there and little is spent.
+            // A light load creates the entry's own share but spends little of it.
             if millis % 100 == 0 {
                 admitted(&mut own, now);
             }
@@ -130,6 +135,6 @@
         }
     }
 
-    let most = BURST + RATE * (END - TAKEOVER) / 1_000;
-    assert!(spent <= most, "{spent} of {most}");
+    let max_tokens = BURST + RATE * (END_MILLIS - TAKEOVER_MILLIS) / 1_000;
+    assert!(spent <= max_tokens, "{spent} of {max_tokens}");
 }
--- a/crates/cranberrygap-control/tests/process.rs
+++ b/crates/cranberrygap-control/tests/process.rs
@@ -1,4 +1,4 @@
-//! Whole control processes over real sockets and folders.
+//! Whole control processes with real sockets and folders.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod fleet;
@@ -28,11 +28,14 @@
 
 async fn confirmed(group: &fleet::Group, revision: number::Revision) -> view::Confirmed {
     let confirm = fleet::confirm(revision);
-    group.tell(method::VIEW_CONFIRM, &confirm).await.unwrap()
+    group
+        .call_as_entry(method::VIEW_CONFIRM, &confirm)
+        .await
+        .unwrap()
 }
 
 async fn applied(group: &fleet::Group, apply: &operator::Apply) -> operator::Applied {
-    group.ask(method::APPLY, apply).await.unwrap()
+    group.call_as_operator(method::APPLY, apply).await.unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -67,8 +70,8 @@
     ));
 }
 
-// An entry changed over from a control process that was ahead of this one. With
-// the older view a withdrawn key would work again.
+// An entry changes from a control process that was ahead of this one. With the older view a
+// withdrawn key would work again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn subscriber_is_never_served_less_than_it_has_seen() {
     let group = fleet::Group::start(1).await;
@@ -83,10 +86,10 @@
     assert!(matches!(refused, Err(Error::Refused { .. })));
 }
 
-// A key is withdrawn while an entry serves with a lease. The operator must not
-// hear "in force" before the entry confirmed it or its lease ran out.
+// A key is withdrawn while an entry holds a lease. The operator must not be told that the change is
+// in force before the entry confirmed it or its lease ended.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn withdrawal_is_in_force_once_the_entry_confirmed_it() {
+async fn withdrawal_is_in_force_once_the_entry_has_confirmed_it() {
     let group = fleet::Group::start(1).await;
     let issued = group.issue("c-1", &fleet::secret(1)).await;
     let joined = confirmed(&group, issued.revision).await;
@@ -95,21 +98,24 @@
 
     let withdrawn = group.withdraw("c-2", &fleet::secret(1)).await;
     confirmed(&group, withdrawn.revision).await;
-    let force: operator::Force = group.ask(method::FORCE, &withdrawn.revision).await.unwrap();
+    let force: operator::Force = group
+        .call_as_operator(method::FORCE, &withdrawn.revision)
+        .await
+        .unwrap();
 
     assert!(force.in_force, "waits for {:?}", force.waiting);
 }
 
-// Two operators apply from the same revision at the same time.
+// Two operators apply a configuration to the same revision at the same time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_two_operators_with_equal_numbers_one_wins() {
+async fn one_of_two_concurrent_applies_is_accepted() {
     let group = fleet::Group::start(3).await;
-    let (one, other) = (
+    let (first, second) = (
         apply("c-1", 0, "[defaults]\nrate = 1/s\n"),
         apply("c-2", 0, "[defaults]\nrate = 2/s\n"),
     );
 
-    let answers = tokio::join!(applied(&group, &one), applied(&group, &other));
+    let answers = tokio::join!(applied(&group, &first), applied(&group, &second));
 
     let won = |answer: &operator::Applied| matches!(answer, operator::Applied::Accepted { .. });
     let lost = |answer: &operator::Applied| matches!(answer, operator::Applied::Conflict { .. });
@@ -120,8 +126,8 @@
     );
 }
 
-// The leader is stopped as planned after it accepted a change, and the operator
-// sends the change again because the answer was lost.
+// The leader is stopped as planned after it accepted a change, and the operator repeats the request
+// because the answer was lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn change_survives_a_planned_stop_of_the_leader_and_its_resend_changes_nothing() {
     let mut group = fleet::Group::start(3).await;
@@ -134,11 +140,12 @@
 
     assert!(matches!(first, operator::Applied::Accepted { .. }));
     assert_eq!(first, second);
-    let history: Vec<operator::Record> = group.ask(method::HISTORY, &()).await.unwrap();
+    let history: Vec<operator::Record> =
+        group.call_as_operator(method::HISTORY, &()).await.unwrap();
     assert_eq!(history.len(), 1);
 }
 
-// A control process restarts and must have everything that was accepted.
+// A restarted control process must have every accepted change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn accepted_changes_survive_a_restart_of_all() {
     let mut group = fleet::Group::start(1).await;
@@ -147,11 +154,11 @@
 
     group.stop(0).await;
     group.run(0).await;
-    let shown: view::State = group.ask(method::SHOW, &()).await.unwrap();
+    let state: view::State = group.call_as_operator(method::SHOW, &()).await.unwrap();
 
-    assert_eq!(shown.configuration.defaults.rate.to_string(), "7/s");
-    assert_eq!(shown.keys.len(), 1);
-    assert_eq!(shown.keys[0].hash, "", "hashes are not shown");
+    assert_eq!(state.configuration.defaults.rate.to_string(), "7/s");
+    assert_eq!(state.keys.len(), 1);
+    assert_eq!(state.keys[0].hash, "", "hashes are not shown");
 }
 
 // A control instance is lost for good and another one takes its place.
@@ -185,16 +192,15 @@
     assert!(!after.voters.contains(&leave.instance));
 }
 
-/// Asks again while the group refuses, for instance since the newcomer has not
-/// presented itself yet.
+/// Repeats a request while the group refuses it, for example until a newcomer presents itself.
 async fn until_taken<P: serde::Serialize + Sync>(
     group: &fleet::Group,
     method: &'static str,
     params: &P,
 ) -> operator::Group {
-    let deadline = tokio::time::Instant::now() + fleet::PATIENCE;
+    let deadline = tokio::time::Instant::now() + fleet::TIMEOUT;
     loop {
-        match group.ask(method, params).await {
+        match group.call_as_operator(method, params).await {
             Ok(group) => return group,
             Err(cause) => assert!(tokio::time::Instant::now() < deadline, "{cause}"),
         }
--- a/crates/cranberrygap-control/tests/replica.rs
+++ b/crates/cranberrygap-control/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The replica with real folders over a network in one process.
+//! Replicas with real folders over a network inside the test process.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod support;
@@ -31,8 +31,8 @@
     );
 }
 
-// The leader is cut off. Operators and entries find no leader for less than a
-// second, then another one, which has everything that was accepted.
+// The leader is cut off. Operators and entries find no leader for less than a second, then another
+// one that has every accepted change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn three_voters_survive_the_loss_of_their_leader() {
     let group = support::group(3, NO_SNAPSHOT);
@@ -59,9 +59,9 @@
     assert_eq!(*old.recorder.payloads.lock(), *new.recorder.payloads.lock());
 }
 
-// A voter's disk is lost and its instance comes back with an empty folder. It
-// must not vote under its old id, whose votes it has forgotten; it is replaced
-// through learner and voter, and then another voter may fail.
+// A voter's disk is lost and its instance comes back with an empty folder. It must not vote under
+// its old id, whose votes it no longer knows. It is replaced, as a learner and then a voter, after
+// which another voter may fail.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn voter_with_a_lost_disk_comes_back_under_a_new_id() {
     let group = support::group(3, 10);
@@ -70,44 +70,49 @@
         support::commit(&running, &number.to_string()).await;
     }
     let leader = support::await_leader(&running).await;
-    let place = running.iter().position(|one| one.peer != leader.peer);
-    let lost = running.remove(place.unwrap());
+    let position = running
+        .iter()
+        .position(|candidate| candidate.peer != leader.peer);
+    let lost = running.remove(position.unwrap());
     let before = lost.replica.dump().await;
 
     lost.replica.stop().await;
     std::fs::remove_dir_all(group.folder(&lost.peer)).unwrap();
     let back = support::reopen(&group, &lost.peer).await;
     running.push(back.clone());
-    support::settle("joins", async || {
+    support::wait_until("joins", async || {
         back.replica.dump().await["phase"] == "running"
     })
     .await;
-    let alone = back.replica.dump().await;
-    support::replace(&running, &lost.peer.instance).await;
+    let joined = back.replica.dump().await;
+    support::replace_replica(&running, &lost.peer.instance).await;
 
     let leader = support::await_leader(&running).await;
     let failing = running
         .iter()
-        .find(|one| one.peer != lost.peer && one.peer != leader.peer);
+        .find(|candidate| candidate.peer != lost.peer && candidate.peer != leader.peer);
     group.network.cut(&failing.unwrap().peer.instance);
     support::commit(&running, "after").await;
     support::wait_for("the new replica has all", || {
         back.recorder.payloads.lock().len() == 31
     })
     .await;
-    assert_ne!(before["replica"], alone["replica"]);
-    assert_eq!(alone["state"]["members"], serde_json::json!([]));
+    assert_ne!(before["replica"], joined["replica"]);
+    assert_eq!(joined["state"]["members"], serde_json::json!([]));
 }
 
-// A replica was away while the others compacted their logs. It gets a snapshot
-// and goes on from there, also after a restart.
+// A replica was cut off while the others compacted their logs. It gets a snapshot and continues
+// from there, also after a restart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn replica_that_was_away_gets_a_snapshot() {
     let mut group = support::group(3, 10);
     group.trailing = 2;
     let running = group.start_all();
     let leader = support::await_leader(&running).await;
-    let away = running.iter().find(|one| one.peer != leader.peer).unwrap();
+    let away = running
+        .iter()
+        .find(|candidate| candidate.peer != leader.peer)
+        .unwrap();
     group.network.cut(&away.peer.instance);
     for number in 0..60 {
         support::commit(&running, &number.to_string()).await;
@@ -126,33 +131,33 @@
     assert!(dump["state"]["snapshot"]["index"].as_u64().unwrap() > 0);
 }
 
-// The leader's instance is taken out of service. Without a hand-over all changes
-// and leases would wait for an election.
+// The leader's instance is taken out of service. Without a transfer of leadership, all changes and
+// leases would wait for an election.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leader_hands_over_before_a_planned_stop() {
+async fn leader_transfers_leadership_before_a_planned_stop() {
     let group = support::group(3, NO_SNAPSHOT);
     let running = group.start_all();
     support::commit(&running, "one").await;
     let old = support::await_leader(&running).await;
 
-    old.replica.transfer().await.unwrap();
+    old.replica.transfer_leadership().await.unwrap();
     let led = old.replica.status().leads;
     old.replica.stop().await;
     let others: Vec<_> = running
         .into_iter()
-        .filter(|one| one.peer != old.peer)
+        .filter(|candidate| candidate.peer != old.peer)
         .collect();
     support::commit(&others, "two").await;
 
     assert!(!led);
 }
 
-// The leader's disk fails in the middle of a sync. What it cannot write it must
-// not acknowledge, and the others must take over.
+// The leader's disk fails during a sync. It must not acknowledge what it cannot write, and the
+// others must take over.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn failed_disk_ends_the_part_of_its_replica_only() {
+async fn failed_disk_stops_only_its_replica() {
     let group = support::group(3, NO_SNAPSHOT);
-    let disk = support::Faulty::default();
+    let disk = support::FaultyDisk::default();
     let faulty = group.start_on(Box::new(disk.clone()), &group.voters[0]);
     let mut running: Vec<_> = group.voters[1..]
         .iter()
@@ -172,9 +177,9 @@
 
     assert!(!faulty.replica.status().leads);
     let healthy = &running[0];
-    // The proposal that met the failure has an unknown outcome and is sent again.
-    // It may be there twice, one after the other; the state above the log knows
-    // resends by their change id.
+    // The proposal that met the failure has an unknown outcome and is sent again, so it may be
+    // there twice in a row. The state above the log recognizes repeated requests by their change
+    // id.
     let expected = ["one", "0", "1", "2", "3", "4"].map(Bytes::from);
     support::wait_for("all entries in order", || {
         let mut payloads = healthy.recorder.payloads.lock().clone();
@@ -186,12 +191,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn proposals_at_a_follower_are_refused_with_the_leaders_name() {
+async fn follower_refuses_proposals_and_names_the_leader() {
     let group = support::group(3, NO_SNAPSHOT);
     let running = group.start_all();
     support::commit(&running, "one").await;
     let leader = support::await_leader(&running).await;
-    let follower = running.iter().find(|one| one.peer != leader.peer).unwrap();
+    let follower = running
+        .iter()
+        .find(|candidate| candidate.peer != leader.peer)
+        .unwrap();
 
     support::wait_for("the follower knows the leader", || {
         follower.replica.status().leader.is_some()
@@ -205,30 +213,27 @@
     assert_eq!(refused, Err(expected));
 }
 
-// All instances lose power after hundreds of large changes, on instances with a small part
-// of a core. Entries are refused for seconds after everything is back, by one leader after
-// the other: each goes silent for longer than an election right after it was elected, and
-// is replaced by the next, which goes silent too. The cause was that a new leader applied
-// all it had read from its folder in one step of the protocol. Shown by the lines of such a
-// day: a whole core share used and no byte sent for 2.4 s after "leads in term 6", then
-// "leads no more", and the same once more in term 8.
+// All instances, each with a small part of a core, lose power after hundreds of large changes. Each
+// new leader applied its whole log in one step of the protocol after its election: it used its full
+// core share and sent no byte for 2.4 s, longer than an election, and was replaced by the next
+// leader with the same fault. Entries were refused for seconds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn leader_with_a_long_log_to_apply_stays_the_leader() {
+async fn leader_with_a_long_log_to_apply_keeps_leadership() {
     const CHANGES: usize = 300;
-    const SIZE: usize = 20 << 10;
+    const CHANGE_BYTES: usize = 20 << 10;
     // One election may be split and need a second term.
-    const MOST_TERMS: u64 = 2;
+    const MAX_TERMS: u64 = 2;
     let mut group = support::group(3, NO_SNAPSHOT);
     let running = group.start_all();
     for _ in 0..CHANGES {
-        support::commit(&running, &"x".repeat(SIZE)).await;
+        support::commit(&running, &"x".repeat(CHANGE_BYTES)).await;
     }
     let before = support::await_leader(&running).await.replica.status().term;
-    for one in &running {
-        one.replica.stop().await;
+    for candidate in &running {
+        candidate.replica.stop().await;
     }
     drop(running);
-    group.pace = std::time::Duration::from_millis(10);
+    group.apply_time = std::time::Duration::from_millis(10);
 
     let mut back = Vec::new();
     for peer in &group.voters {
@@ -236,26 +241,25 @@
     }
     let leader = support::await_leader(&back).await;
 
-    let terms = leader.replica.status().term.0 - before.0;
-    assert!(terms <= MOST_TERMS, "{terms} terms until one leads");
+    let new_terms = leader.replica.status().term.0 - before.0;
+    assert!(new_terms <= MAX_TERMS, "{new_terms} terms until one leads");
 }
 
-// Operators send large changes all day; the count of entries after which the log was
-// shortened was never reached. After a loss of power each control process read and applied
-// megabytes of changes that were long replaced, seconds on a small part of a core, before
-// entries got a view. Shown by the start of such a process, which took 0.7 s to its first
-// line, while one with an empty folder took 0.05 s.
+// With large changes the log never reached the number of entries after which it is compacted. After
+// a power loss each control process read and applied megabytes of obsolete changes, for seconds on
+// a small part of a core, before entries got a view. Such a process took 0.7 s to its first log
+// line, one with an empty folder 0.05 s.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn log_of_large_changes_is_shortened_by_its_size() {
+async fn log_of_large_changes_is_compacted_by_its_size() {
     const CHANGES: usize = 300;
-    const SIZE: usize = 20 << 10;
-    const MOST_READ: usize = 4 << 20;
+    const CHANGE_BYTES: usize = 20 << 10;
+    const MAX_APPLIED_BYTES: usize = 4 << 20;
     let mut group = support::group(1, NO_SNAPSHOT);
-    group.keeps_last = true;
+    group.keep_last_only = true;
     group.snapshot_bytes = replica::SNAPSHOT_BYTES;
     let running = group.start_all();
     for _ in 0..CHANGES {
-        support::commit(&running, &"x".repeat(SIZE)).await;
+        support::commit(&running, &"x".repeat(CHANGE_BYTES)).await;
     }
     running[0].replica.stop().await;
     drop(running);
@@ -265,21 +269,21 @@
 
     let applied = again.recorder.applied.load(Ordering::SeqCst);
     assert!(
-        applied * SIZE <= MOST_READ,
+        applied * CHANGE_BYTES <= MAX_APPLIED_BYTES,
         "{applied} entries are applied again"
     );
 }
 
-// A leader that no settings name must hear of a replica that presents itself: the group would
-// stay without it, and the next loss of folders would leave no quorum.
+// A replica presents itself, but no settings name the current leader. The leader must still hear of
+// it: otherwise the group stays without the replica, and the next loss of folders leaves no quorum.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leader_that_no_settings_name_takes_in_a_replica_with_a_new_folder() {
+async fn leader_missing_in_settings_adds_a_replica_with_a_new_folder() {
     let group = support::group(3, NO_SNAPSHOT);
     let mut running = group.start_all();
     support::commit(&running, "one").await;
     let fourth = group.start(&support::peer(4));
     running.push(fourth.clone());
-    support::settle("the fourth is added", async || {
+    support::wait_until("the fourth is added", async || {
         let leader = support::await_leader(&running).await;
         leader
             .replica
@@ -288,7 +292,7 @@
             .is_ok()
     })
     .await;
-    support::settle("the fourth votes", async || {
+    support::wait_until("the fourth votes", async || {
         let leader = support::await_leader(&running).await;
         leader.replica.promote(&fourth.peer.instance).await.is_ok()
     })
@@ -298,22 +302,28 @@
             break;
         }
         let leader = support::await_leader(&running).await;
-        // Refused while another hand-over is under way; the next look tries again.
-        drop(leader.replica.transfer().await);
+        // The transfer is refused while another one is in progress; the next round tries again.
+        drop(leader.replica.transfer_leadership().await);
         support::commit(&running, "next").await;
     }
     assert!(fourth.replica.status().leads, "the fourth never led");
-    let place = running.iter().position(|one| one.peer != fourth.peer);
-    let lost = running.remove(place.unwrap());
+    let position = running
+        .iter()
+        .position(|candidate| candidate.peer != fourth.peer);
+    let lost = running.remove(position.unwrap());
 
     lost.replica.stop().await;
     std::fs::remove_dir_all(group.folder(&lost.peer)).unwrap();
     let back = support::reopen(&group, &lost.peer).await;
-    support::settle("the lost replica is out", async || {
-        fourth.replica.remove(&lost.peer.instance).await.is_ok()
+    support::wait_until("the lost replica is out", async || {
+        fourth
+            .replica
+            .remove_member(&lost.peer.instance)
+            .await
+            .is_ok()
     })
     .await;
-    support::settle("the new replica is added", async || {
+    support::wait_until("the new replica is added", async || {
         fourth
             .replica
             .add_learner(&lost.peer.instance)
--- a/crates/cranberrygap-control/tests/shares.rs
+++ b/crates/cranberrygap-control/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Renewals of shares of many entries that come together.
+//! Share renewals of many entries at the same time.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 const ENTRIES: usize = 65;
 const WORKSPACES: usize = 16;
 
-/// A log of one process whose commits take a while.
+/// Log of a single process with slow commits.
 #[derive(Debug)]
 struct SlowLog {
     state: Arc<replicated::State>,
@@ -82,8 +82,8 @@
     }
 }
 
-/// A leader of sixteen workspaces.
-fn leader() -> (Arc<SlowLog>, Arc<shares::Shares>) {
+/// Returns a leader with sixteen workspaces.
+fn leader() -> (Arc<SlowLog>, Arc<shares::Coordinator>) {
     let state = Arc::new(replicated::State::default());
     let log = Arc::new(SlowLog {
         state: Arc::clone(&state),
@@ -99,9 +99,9 @@
     log.apply(&serde_json::to_vec(&proposal).unwrap());
     let proposer = proposer::Proposer::new(Arc::clone(&log) as _);
     let clock = clock::Clock::start();
-    let shares = shares::Shares::new(state, proposer, clock, metric::Recorder::none());
+    let shares = shares::Coordinator::new(state, proposer, clock, metric::Recorder::none());
     let shares = Arc::new(shares);
-    tokio::spawn(Arc::clone(&shares).watch());
+    tokio::spawn(Arc::clone(&shares).run());
     (log, shares)
 }
 
@@ -127,9 +127,10 @@
     }
 }
 
-// Renewals that wait for a commit each are given up by their entries, which refuse callers.
+// If each renewal waited for a commit of its own, entries would give up on theirs and refuse
+// callers.
 #[tokio::test]
-async fn renewals_that_come_together_share_a_commit() {
+async fn concurrent_renewals_share_a_commit() {
     let (log, shares) = leader();
     let before = log.commits();
 
@@ -137,7 +138,7 @@
     let answers = future::join_all(renewals).await;
 
     assert!(answers.iter().all(Result::is_ok), "{answers:?}");
-    // The first may begin a commit by itself; the others come while it is under way.
+    // The first renewal may start a commit of its own; the others arrive during it.
     assert!(log.commits() - before <= 2, "{}", log.commits() - before);
 }
 
@@ -146,12 +147,12 @@
 async fn renewal_of_an_entry_that_is_gone_is_not_granted() {
     let (_log, shares) = leader();
     let first = shares.renew(renewal(0));
-    let gone = async {
+    let abandoned = async {
         tokio::time::sleep(Duration::from_millis(5)).await;
         let renewal = shares.renew(renewal(1));
         drop(tokio::time::timeout(Duration::from_millis(1), renewal).await);
     };
-    let (granted, ()) = future::join(first, gone).await;
+    let (granted, ()) = future::join(first, abandoned).await;
 
     let again = shares.renew(renewal(1)).await;
 
