--- a/crates/cranberrygap-entry/src/caller/body.rs
+++ b/crates/cranberrygap-entry/src/caller/body.rs
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// [`Refusal::BodyMalformed`] with what is wrong.
-    pub fn read(bytes: &[u8], prompt_key: &str, default_max: u64) -> Result<Self, Refusal> {
+    pub fn parse(bytes: &[u8], prompt_key: &str, default_max: u64) -> Result<Self, Refusal> {
         let mut fields: BTreeMap<SmolStr, Box<RawValue>> =
             serde_json::from_slice(bytes).map_err(|cause| malformed(&cause.to_string()))?;
         let model = field::<id::Model>(&fields, MODEL)?.ok_or_else(|| missing(MODEL))?;
@@ -85,7 +85,7 @@
     }
 
     /// The body for an engine that goes on behind the first `delivered` tokens.
-    pub(crate) fn resumed(&self, delivered: u64) -> Bytes {
+    pub(crate) fn resume_after(&self, delivered: u64) -> Bytes {
         if delivered == 0 {
             return Bytes::clone(&self.dispatched);
         }
--- a/crates/cranberrygap-entry/src/caller/generate.rs
+++ b/crates/cranberrygap-entry/src/caller/generate.rs
@@ -116,7 +116,7 @@
         let bytes = crate::server::read_body(request, &self.core).await?;
         auth::check_hidden(&secret, &[&bytes, id.as_str().as_bytes()])?;
         let default_max = max_tokens(&view, &workspace);
-        let body = body::Body::read(&bytes, self.prompt_key, default_max)?;
+        let body = body::Body::parse(&bytes, self.prompt_key, default_max)?;
         if !view.has_model(&body.model) {
             return Err(Refusal::ModelUnknown(body.model.as_str().into()));
         }
--- a/crates/cranberrygap-entry/src/caller/pattern.rs
+++ b/crates/cranberrygap-entry/src/caller/pattern.rs
@@ -4,7 +4,7 @@
 ///
 /// A star at the end stands for any rest of the path without `..`.
 #[must_use]
-pub fn covers(pattern: &str, method: &str, path: &str) -> bool {
+pub fn matches(pattern: &str, method: &str, path: &str) -> bool {
     let Some((wanted_method, wanted_path)) = pattern.split_once(' ') else {
         return false;
     };
--- a/crates/cranberrygap-entry/src/caller/services.rs
+++ b/crates/cranberrygap-entry/src/caller/services.rs
@@ -1,6 +1,6 @@
 //! `/services/{name}/...`: calls of plain services.
 
-mod ending;
+mod completion;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -120,7 +120,7 @@
         if !matches!(&outcome, Err(refusal) if is_not_run(refusal)) {
             permit.mark_all_used();
         }
-        ending::write(outcome?, response);
+        completion::write(outcome?, response);
         Ok(())
     }
 
@@ -158,7 +158,7 @@
 
     /// Sends a call that may be repeated until an endpoint answers, as far as the
     /// retry budget and the deadline allow.
-    async fn look_up(&self, call: &Call) -> Result<ending::Ending, Refusal> {
+    async fn look_up(&self, call: &Call) -> Result<completion::Completion, Refusal> {
         let deadline = self.core.now().after(call.deadline);
         self.core.retries.lock().record_request();
         let mut tried = route::Tried::new();
@@ -168,13 +168,13 @@
                 break;
             };
             let client = if number > 1 {
-                self.core.upstream.fresh()
+                self.core.upstream.unpooled()
             } else {
                 self.core.upstream.pooled()
             };
-            let ending = self.dispatch(call, &choice, client).await;
-            let ending::Ending::Failed(evidence) = ending else {
-                return Ok(ending);
+            let completion = self.dispatch(call, &choice, client).await;
+            let completion::Completion::Failed(evidence) = completion else {
+                return Ok(completion);
             };
             outcome = outcome.combined_with(Outcome::from_evidence(evidence));
             let attempt = retry::Attempt {
@@ -223,13 +223,13 @@
 
     /// Runs a call that may run at most once, in a task of its own: a caller that
     /// leaves must not stop it half way, with its outcome unrecorded.
-    async fn book(&self, call: Call) -> Result<ending::Ending, Refusal> {
+    async fn book(&self, call: Call) -> Result<completion::Completion, Refusal> {
         let core = Arc::clone(&self.core);
         let task = tokio::spawn(async move { Self { core }.book_once(&call).await });
         task.await.unwrap_or(Err(Refusal::BookingUnknown))
     }
 
-    async fn book_once(&self, call: &Call) -> Result<ending::Ending, Refusal> {
+    async fn book_once(&self, call: &Call) -> Result<completion::Completion, Refusal> {
         let key = call.key.clone().ok_or(Refusal::IdempotencyKeyMissing)?;
         let booking = booking::Booking {
             workspace: call.workspace.clone(),
@@ -256,7 +256,7 @@
                     booking.close(&self.core, claim, outcome).await
                 }
                 Some(claims::Output::Reply(reply)) => {
-                    return booking::answer(reply).map(|stored| ending::from_stored(&stored));
+                    return booking::answer(reply).map(|stored| completion::from_stored(&stored));
                 }
                 None => return Err(Refusal::BookingUnknown),
             };
@@ -272,9 +272,9 @@
         let Some(choice) = self.choose(call, &route::Tried::new()) else {
             return claims::Input::Ended(Evidence::NeverDispatched);
         };
-        let client = self.core.upstream.fresh();
-        let ending = self.dispatch(call, &choice, client).await;
-        ending::to_input(&ending)
+        let client = self.core.upstream.unpooled();
+        let completion = self.dispatch(call, &choice, client).await;
+        completion::to_input(&completion)
     }
 
     fn choose(&self, call: &Call, tried: &route::Tried) -> Option<route::Destination> {
@@ -291,24 +291,24 @@
         call: &Call,
         choice: &route::Destination,
         client: &reqwest::Client,
-    ) -> ending::Ending {
+    ) -> completion::Completion {
         let about = call.about().at(&choice.endpoint);
         let sentence = "sent to the endpoint";
         self.core.trace.note(&about, "sent", sentence, &[]);
-        let ending = self.send(call, choice, client).await;
-        let sentence = match &ending {
-            ending::Ending::Answered { .. } => "the endpoint answered",
-            ending::Ending::Failed(evidence) => match Outcome::from_evidence(*evidence) {
+        let completion = self.send(call, choice, client).await;
+        let sentence = match &completion {
+            completion::Completion::Answered { .. } => "the endpoint answered",
+            completion::Completion::Failed(evidence) => match Outcome::from_evidence(*evidence) {
                 Outcome::NotRun => "it is proven that the call did not run",
                 _ => "no whole answer came; the call may have run",
             },
         };
         self.core.trace.note(&about, "ended", sentence, &[]);
-        let failed = matches!(ending, ending::Ending::Failed(_));
+        let failed = matches!(completion, completion::Completion::Failed(_));
         self.core
             .router
             .record_ended(self.core.now(), choice, failed);
-        ending
+        completion
     }
 
     async fn send(
@@ -316,7 +316,7 @@
         call: &Call,
         choice: &route::Destination,
         client: &reqwest::Client,
-    ) -> ending::Ending {
+    ) -> completion::Completion {
         let url = format!("http://{}{}", choice.address, call.path);
         let mut sending = client
             .request(call.method.clone(), url)
@@ -330,8 +330,8 @@
             sending = sending.header(IDEMPOTENCY_KEY, key.as_str());
         }
         match sending.send().await {
-            Ok(answer) => ending::read_answer(answer).await,
-            Err(cause) => ending::Ending::Failed(engine::evidence_of(&cause)),
+            Ok(answer) => completion::read_answer(answer).await,
+            Err(cause) => completion::Completion::Failed(engine::evidence_of(&cause)),
         }
     }
 }
@@ -375,7 +375,7 @@
     let path = call.path.split('?').next().unwrap_or_default();
     let patterns = exception(view, &call.service).map(|exception| &exception.idempotent);
     let mut patterns = patterns.into_iter().flatten();
-    patterns.any(|pattern| pattern::covers(pattern, call.method.as_str(), path))
+    patterns.any(|pattern| pattern::matches(pattern, call.method.as_str(), path))
 }
 
 fn cost(view: &view::Snapshot, service: &id::Service) -> u64 {
--- a/crates/cranberrygap-entry/src/caller/services/ending.rs
+++ b/crates/cranberrygap-entry/src/caller/services/completion.rs
@@ -10,7 +10,7 @@
 
 /// How a dispatch ended.
 #[derive(Debug)]
-pub(super) enum Ending {
+pub(super) enum Completion {
     Answered {
         status: StatusCode,
         content_type: HeaderValue,
@@ -20,7 +20,7 @@
     Failed(Evidence),
 }
 
-pub(super) async fn read_answer(answer: reqwest::Response) -> Ending {
+pub(super) async fn read_answer(answer: reqwest::Response) -> Completion {
     let status = answer.status();
     let default = HeaderValue::from_static("application/octet-stream");
     let content_type = answer
@@ -31,13 +31,13 @@
     // A body shorter than its announced length fails here; it must not be taken
     // for the whole answer.
     match answer.bytes().await {
-        Ok(body) if says_not_run(status, &body) => Ending::Failed(Evidence::EndpointRefused),
-        Ok(body) => Ending::Answered {
+        Ok(body) if says_not_run(status, &body) => Completion::Failed(Evidence::EndpointRefused),
+        Ok(body) => Completion::Answered {
             status,
             content_type,
             body,
         },
-        Err(_cause) => Ending::Failed(Evidence::CutAnswer),
+        Err(_cause) => Completion::Failed(Evidence::CutAnswer),
     }
 }
 
@@ -56,9 +56,9 @@
 }
 
 /// What the decisions about bookings are told of it.
-pub(super) fn to_input(ending: &Ending) -> claims::Input {
-    match ending {
-        Ending::Answered {
+pub(super) fn to_input(completion: &Completion) -> claims::Input {
+    match completion {
+        Completion::Answered {
             status,
             content_type,
             body,
@@ -66,27 +66,27 @@
             let content_type = content_type.to_str().unwrap_or_default();
             claims::Input::Answered(booking::response(status.as_u16(), content_type, body))
         }
-        Ending::Failed(evidence) => claims::Input::Ended(*evidence),
+        Completion::Failed(evidence) => claims::Input::Ended(*evidence),
     }
 }
 
-pub(super) fn from_stored(stored: &claim::Response) -> Ending {
+pub(super) fn from_stored(stored: &claim::Response) -> Completion {
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let content_type = HeaderValue::from_str(&stored.content_type);
     let content_type = content_type.unwrap_or(HeaderValue::from_static("application/octet-stream"));
-    Ending::Answered {
+    Completion::Answered {
         status,
         content_type,
         body: booking::stored_body(stored),
     }
 }
 
-pub(super) fn write(ending: Ending, response: &mut Response) {
-    if let Ending::Answered {
+pub(super) fn write(completion: Completion, response: &mut Response) {
+    if let Completion::Answered {
         status,
         content_type,
         body,
-    } = ending
+    } = completion
     {
         response.status_code(status);
         response
--- a/crates/cranberrygap-entry/src/desk.rs
+++ b/crates/cranberrygap-entry/src/discovery.rs
@@ -13,11 +13,11 @@
 
 /// Parts of the entry for other forms of the address answer and readiness checks.
 #[derive(Debug, Clone)]
-pub struct Desk {
+pub struct Discovery {
     core: Arc<core::Core>,
 }
 
-impl Desk {
+impl Discovery {
     pub(crate) const fn new(core: Arc<core::Core>) -> Self {
         Self { core }
     }
--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -164,7 +164,7 @@
         let call = self
             .core
             .upstream
-            .fresh()
+            .unpooled()
             .get(url)
             .timeout(PROBE_TIMEOUT)
             .send();
--- a/crates/cranberrygap-entry/src/engine/delivery.rs
+++ b/crates/cranberrygap-entry/src/engine/delivery.rs
@@ -257,7 +257,7 @@
         };
         // After a failure, the pooled connections may be dead as well.
         let client = if self.attempts > 1 {
-            self.core.upstream.fresh()
+            self.core.upstream.unpooled()
         } else {
             self.core.upstream.pooled()
         };
@@ -267,7 +267,7 @@
             .header(ATTEMPT_ID_HEADER, attempt_id.as_str())
             .header(REQUEST_ID_HEADER, self.request.id.as_str())
             .timeout(self.remaining().to_std())
-            .body(self.request.body.resumed(delivered))
+            .body(self.request.body.resume_after(delivered))
             .send();
         let timeout = if self.request.body.stream {
             FIRST_BYTE_TIMEOUT.min(self.remaining())
--- a/crates/cranberrygap-entry/src/lib.rs
+++ b/crates/cranberrygap-entry/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod announce;
 pub mod caller;
 pub mod core;
-pub mod desk;
+pub mod discovery;
 pub mod gateway;
 pub mod metric;
 pub mod process;
--- a/crates/cranberrygap-entry/src/process.rs
+++ b/crates/cranberrygap-entry/src/process.rs
@@ -20,7 +20,7 @@
 use crate::announce;
 use crate::control;
 use crate::core;
-use crate::desk;
+use crate::discovery;
 use crate::gateway::{self, dialect};
 use crate::load;
 use crate::queue;
@@ -180,8 +180,8 @@
 
     /// Parts of the entry for other listeners of the same process.
     #[must_use]
-    pub fn desk(&self) -> desk::Desk {
-        desk::Desk::new(Arc::clone(&self.core))
+    pub fn discovery(&self) -> discovery::Discovery {
+        discovery::Discovery::new(Arc::clone(&self.core))
     }
 
     /// Takes over changed settings, as far as they can change while it runs.
@@ -257,7 +257,7 @@
     /// it does when this one takes no more connections. So the few callers that keep
     /// answers for longer are not waited for.
     async fn finish_gateway(&self, gateway: &gateway::Listener, begun: time::Instant) {
-        let lifetime = self.desk().lifetime().to_std();
+        let lifetime = self.discovery().lifetime().to_std();
         let longest = self.core.stop_within().to_std();
         let longest = longest.saturating_sub(LAST_WORDS + DRAIN_LOOK);
         let serving = (lifetime + LAST_WORDS).min(longest / 2);
--- a/crates/cranberrygap-entry/src/upstream.rs
+++ b/crates/cranberrygap-entry/src/upstream.rs
@@ -22,15 +22,15 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Clients {
     pooled: reqwest::Client,
-    fresh: reqwest::Client,
+    unpooled: reqwest::Client,
 }
 
 impl Clients {
     /// Clients with the bounds above.
     pub(crate) fn new() -> reqwest::Result<Self> {
         let pooled = builder().pool_idle_timeout(IDLE).build()?;
-        let fresh = builder().pool_max_idle_per_host(0).build()?;
-        Ok(Self { pooled, fresh })
+        let unpooled = builder().pool_max_idle_per_host(0).build()?;
+        Ok(Self { pooled, unpooled })
     }
 
     /// For requests that may be sent again: keeps connections.
@@ -40,8 +40,8 @@
 
     /// For bookings: each goes over a connection of its own, so that a silently
     /// dead one cannot turn a booking into one of unknown outcome.
-    pub(crate) fn fresh(&self) -> &reqwest::Client {
-        &self.fresh
+    pub(crate) fn unpooled(&self) -> &reqwest::Client {
+        &self.unpooled
     }
 }
 
--- a/crates/cranberrygap-entry/tests/bodies.rs
+++ b/crates/cranberrygap-entry/tests/bodies.rs
@@ -6,7 +6,7 @@
 const DEFAULT_MAX: u64 = 64;
 
 fn read(text: &str) -> Result<body::Body, refusal::Refusal> {
-    body::Body::read(text.as_bytes(), "messages", DEFAULT_MAX)
+    body::Body::parse(text.as_bytes(), "messages", DEFAULT_MAX)
 }
 
 fn dispatched(body: &body::Body) -> serde_json::Value {
@@ -52,9 +52,13 @@
 
 #[test]
 fn patterns_cover_what_they_say() {
-    assert!(pattern::covers("GET /lookup/*", "GET", "/lookup/17"));
-    assert!(pattern::covers("GET /status", "GET", "/status"));
-    assert!(!pattern::covers("GET /lookup/*", "POST", "/lookup/17"));
-    assert!(!pattern::covers("GET /status", "GET", "/status/x"));
-    assert!(!pattern::covers("GET /lookup/*", "GET", "/lookup/../draws"));
+    assert!(pattern::matches("GET /lookup/*", "GET", "/lookup/17"));
+    assert!(pattern::matches("GET /status", "GET", "/status"));
+    assert!(!pattern::matches("GET /lookup/*", "POST", "/lookup/17"));
+    assert!(!pattern::matches("GET /status", "GET", "/status/x"));
+    assert!(!pattern::matches(
+        "GET /lookup/*",
+        "GET",
+        "/lookup/../draws"
+    ));
 }
--- a/crates/cranberrygap/src/daemon/entry.rs
+++ b/crates/cranberrygap/src/daemon/entry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cranberrygap_entry::gateway::dialect;
-use cranberrygap_entry::{desk, process};
+use cranberrygap_entry::{discovery, process};
 use cranberrygap_link::credential;
 use cranberrygap_wire::settings;
 use eyre::WrapErr;
@@ -55,7 +55,11 @@
     /// # Errors
     ///
     /// An address that cannot be listened on.
-    fn listen(&self, settings: &settings::Entry, desk: desk::Desk) -> eyre::Result<()>;
+    fn listen(
+        &self,
+        settings: &settings::Entry,
+        discovery: discovery::Discovery,
+    ) -> eyre::Result<()>;
 }
 
 /// Runs an entry until a signal stops it.
@@ -77,7 +81,7 @@
     let starting = process::Process::start_with(settings.clone(), held.clone(), metrics, dialect);
     let entry = starting.await?;
     if let Some(form) = form {
-        form.listen(&settings, entry.desk())?;
+        form.listen(&settings, entry.discovery())?;
     }
     let mut watch = watch::Watch::new(file);
     loop {
