--- a/crates/cranberrygap-entry/src/admin.rs
+++ b/crates/cranberrygap-entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' listener of an entry.
+//! Listener for operators: dumps and explanations.
 
 use std::sync::Arc;
 
@@ -9,31 +9,33 @@
 use crate::core;
 use crate::process;
 
-/// Serves dumps and explanations to operators.
+/// Starts the listener, which serves callers with an operator's secret.
 pub(crate) async fn start(
     core: &Arc<core::Core>,
-    wanted: address::Socket,
+    address: address::Socket,
     secrets: Vec<credential::Secret>,
 ) -> Result<server::Handle, server::Error> {
-    let dumped = Arc::clone(core);
-    let explained = Arc::clone(core);
+    let dump_core = Arc::clone(core);
+    let explain_core = Arc::clone(core);
     let builder = server::Builder::new()
         .secrets(credential::Role::Operator, secrets)
         .method(
             method::DUMP,
             credential::Role::Operator,
             move |_nothing: ()| {
-                let core = Arc::clone(&dumped);
+                let core = Arc::clone(&dump_core);
                 async move { Ok(process::dump(&core)) }
             },
         )
         .method(
             method::EXPLAIN,
             credential::Role::Operator,
-            move |ask: trace::Ask| {
-                let told = explained.trace.tell(explained.instance(), &ask);
-                std::future::ready(Ok(told))
+            move |request: trace::Ask| {
+                let decisions = explain_core
+                    .trace
+                    .explain(explain_core.instance(), &request);
+                std::future::ready(Ok(decisions))
             },
         );
-    builder.start(wanted).await
+    builder.start(address).await
 }
--- a/crates/cranberrygap-entry/src/attainment.rs
+++ b/crates/cranberrygap-entry/src/attainment.rs
@@ -1,4 +1,4 @@
-//! Whether a request met the latency targets.
+//! Attainment: whether model requests meet the latency targets.
 
 use std::sync::Arc;
 
@@ -8,76 +8,80 @@
 use crate::core;
 use crate::metric;
 
-/// Follows one request from its arrival to its last token.
+/// Progress of one request from its arrival to its last token.
 #[derive(Debug)]
 pub(crate) struct Progress {
     core: Arc<core::Core>,
     model: id::Model,
-    first_target: duration::Span,
-    between_target: duration::Span,
-    arrived: duration::Instant,
-    first: Option<duration::Instant>,
+    first_token_target: duration::Span,
+    between_token_target: duration::Span,
+    arrived_at: duration::Instant,
+    first_token_at: Option<duration::Instant>,
     tokens: u64,
     finished: bool,
 }
 
 impl Progress {
-    /// A request for `model` that arrived now.
-    pub(crate) fn arrived(
+    /// Records that a request for `model` arrives now.
+    pub(crate) fn start(
         core: &Arc<core::Core>,
         model: &id::Model,
         defaults: &cranberrygap_wire::configuration::Defaults,
     ) -> Self {
         core.demand.arrived(model);
         Self {
-            arrived: core.now(),
+            arrived_at: core.now(),
             core: Arc::clone(core),
             model: model.clone(),
-            first_target: defaults.first_token_target,
-            between_target: defaults.between_token_target,
-            first: None,
+            first_token_target: defaults.first_token_target,
+            between_token_target: defaults.between_token_target,
+            first_token_at: None,
             tokens: 0,
             finished: false,
         }
     }
 
-    /// A token went out to the caller.
-    pub(crate) fn token(&mut self) {
+    /// Records that a token is sent to the caller.
+    pub(crate) fn record_token(&mut self) {
         self.tokens += 1;
-        if self.first.is_none() {
-            self.first = Some(self.core.now());
+        if self.first_token_at.is_none() {
+            self.first_token_at = Some(self.core.now());
         }
     }
 
-    /// The answer is whole.
+    /// Records that the answer is complete.
     pub(crate) fn finish(&mut self) {
         self.finished = true;
     }
 
-    /// A metric that cannot be sent is lost; requests do not wait for metrics.
-    fn count(&self, attained: bool) {
+    /// Sends the metrics of the request.
+    ///
+    /// A metric that cannot be sent is lost, as requests do not wait for metrics.
+    fn send_metrics(&self, attained: bool) {
         let metrics = &self.core.metrics;
-        let word = if attained { "attained" } else { "missed" };
+        let tag = if attained { "attained" } else { "missed" };
         metrics
             .count_with_tags(metric::ANSWERS, 1)
-            .with_tag_value(word)
+            .with_tag_value(tag)
             .send();
-        let Some(first) = self.first else {
+        let Some(first_token_at) = self.first_token_at else {
             return;
         };
         let _lost = metrics.count(metric::TOKENS, self.tokens);
-        let time = first.since(self.arrived).to_std();
+        let time = first_token_at.since(self.arrived_at).to_std();
         let _lost = metrics.time(metric::FIRST_TOKEN, time);
     }
 
+    /// Whether the answer is complete and both the first token and the mean time from one token
+    /// to the next are within their targets.
     fn is_attained(&self, now: duration::Instant) -> bool {
-        let Some(first) = self.first else {
+        let Some(first_token_at) = self.first_token_at else {
             return false;
         };
-        let gaps = self.tokens.saturating_sub(1).max(1);
-        let between = now.since(first).0 / gaps;
-        let in_time = first.since(self.arrived) <= self.first_target;
-        self.finished && in_time && between <= self.between_target.0
+        let intervals = self.tokens.saturating_sub(1).max(1);
+        let mean_interval = now.since(first_token_at).0 / intervals;
+        let in_time = first_token_at.since(self.arrived_at) <= self.first_token_target;
+        self.finished && in_time && mean_interval <= self.between_token_target.0
     }
 }
 
@@ -85,6 +89,6 @@
     fn drop(&mut self) {
         let attained = self.is_attained(self.core.now());
         self.core.demand.ended(&self.model, self.tokens, attained);
-        self.count(attained);
+        self.send_metrics(attained);
     }
 }
--- a/crates/cranberrygap-entry/src/booking.rs
+++ b/crates/cranberrygap-entry/src/booking.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services that must not run twice.
+//! Bookings: calls of plain services that run at most once.
 
 use std::sync::Arc;
 
@@ -14,38 +14,38 @@
 use crate::digest;
 use crate::refusal::Refusal;
 
-/// Longest wait for the control leader; a claim takes a few milliseconds.
-const CLAIM_DEADLINE: duration::Span = duration::Span::from_secs(3);
+/// Longest wait for the control leader. A claim takes a few milliseconds.
+const CLAIM_TIMEOUT: duration::Span = duration::Span::from_secs(3);
 
-/// One booking.
+/// A call that runs at most once, identified by its workspace and idempotency key.
 #[derive(Debug)]
 pub(crate) struct Booking {
     pub workspace: id::Workspace,
     pub key: SmolStr,
-    pub body_hash: SmolStr,
+    pub call_hash: SmolStr,
     pub request: id::Request,
 }
 
 impl Booking {
-    /// Asks the control leader for the right to run this booking.
-    pub(crate) async fn open(&self, core: &Arc<core::Core>) -> claims::Input {
+    /// Opens the claim at the control leader, which grants the right to run this booking.
+    pub(crate) async fn open_claim(&self, core: &Arc<core::Core>) -> claims::Input {
         let open = claim::Open {
             workspace: self.workspace.clone(),
             key: self.key.clone(),
-            body: self.body_hash.clone(),
+            body: self.call_hash.clone(),
             request: self.request.clone(),
             instance: core.instance().clone(),
             boot: core.boot,
         };
         let verdict: Result<claim::Verdict, cranberrygap_link::error::Error> = core
             .leader
-            .call(method::CLAIM_OPEN, &open, CLAIM_DEADLINE)
+            .call(method::CLAIM_OPEN, &open, CLAIM_TIMEOUT)
             .await;
         verdict.map_or(claims::Input::OpenFailed, claims::Input::Verdict)
     }
 
-    /// Records how the booking ended.
-    pub(crate) async fn close(
+    /// Closes the claim with the outcome of the booking.
+    pub(crate) async fn close_claim(
         &self,
         core: &Arc<core::Core>,
         claim: u64,
@@ -57,16 +57,16 @@
             claim,
             outcome,
         };
-        let answer: Result<(), cranberrygap_link::error::Error> = core
+        let result: Result<(), cranberrygap_link::error::Error> = core
             .leader
-            .call(method::CLAIM_CLOSE, &close, CLAIM_DEADLINE)
+            .call(method::CLAIM_CLOSE, &close, CLAIM_TIMEOUT)
             .await;
-        answer.map_or(claims::Input::CloseFailed, |()| claims::Input::Closed)
+        result.map_or(claims::Input::CloseFailed, |()| claims::Input::Closed)
     }
 }
 
-/// What the caller gets.
-pub(crate) fn answer(reply: claims::Reply) -> Result<claim::Response, Refusal> {
+/// Converts a reply into the stored response or a refusal.
+pub(crate) fn to_result(reply: claims::Reply) -> Result<claim::Response, Refusal> {
     match reply {
         claims::Reply::Answer(response) => Ok(response),
         claims::Reply::NotRun => Err(Refusal::BookingNotRun),
@@ -78,8 +78,8 @@
     }
 }
 
-/// A service's answer in the form that is stored.
-pub(crate) fn response(status: u16, content_type: &str, body: &[u8]) -> claim::Response {
+/// Converts a service's response into the form that is stored in the claim.
+pub(crate) fn to_stored(status: u16, content_type: &str, body: &[u8]) -> claim::Response {
     claim::Response {
         status,
         content_type: content_type.into(),
@@ -87,8 +87,8 @@
     }
 }
 
-/// The body of a stored answer.
-pub(crate) fn stored_body(response: &claim::Response) -> Bytes {
+/// Decodes the body of a stored response.
+pub(crate) fn decode_body(response: &claim::Response) -> Bytes {
     Bytes::from(
         STANDARD
             .decode(response.body.as_bytes())
@@ -96,7 +96,7 @@
     )
 }
 
-/// Hash of what the call asks for, to tell a resend from another call.
-pub(crate) fn body_hash(method: &str, path: &str, body: &[u8]) -> SmolStr {
-    digest::of([method.as_bytes(), path.as_bytes(), body])
+/// Hash of a call, which distinguishes a resend from another call with the same key.
+pub(crate) fn hash_call(method: &str, path: &str, body: &[u8]) -> SmolStr {
+    digest::hash_parts([method.as_bytes(), path.as_bytes(), body])
 }
--- a/crates/cranberrygap-entry/src/caller.rs
+++ b/crates/cranberrygap-entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: one handler a file.
+//! HTTP handlers of the callers' API, one in each file.
 
 pub(crate) mod addresses;
 pub(crate) mod auth;
@@ -13,19 +13,21 @@
 
 use crate::engine;
 
-/// The caller's request id, or a new one when it gave none that can be used.
+/// Returns the request id that the caller supplied, or a random one if it is missing or invalid.
 pub(crate) fn request_id(request: &Request) -> id::Request {
-    let given = request.headers().get(engine::REQUEST_ID_HEADER);
-    let given = given
+    let supplied = request.headers().get(engine::REQUEST_ID_HEADER);
+    let supplied = supplied
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
-    given.unwrap_or_else(|| {
-        let drawn = format!("{:032x}", rand::random::<u128>());
-        drawn.parse().expect("hexadecimal digits are a name")
+    supplied.unwrap_or_else(|| {
+        let random = format!("{:032x}", rand::random::<u128>());
+        random
+            .parse()
+            .expect("hexadecimal digits form a valid request id")
     })
 }
 
-/// Writes the request id into the answer's head.
+/// Sets the request id header of the response.
 pub(crate) fn write_request_id(request: &id::Request, response: &mut Response) {
     if let Ok(value) = HeaderValue::from_str(request.as_str()) {
         response
@@ -34,7 +36,7 @@
     }
 }
 
-/// Marks the answer's body as JSON.
+/// Sets a JSON body with its content type.
 pub(crate) fn write_json(response: &mut Response, body: String) {
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
--- a/crates/cranberrygap-entry/src/caller/addresses.rs
+++ b/crates/cranberrygap-entry/src/caller/addresses.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/addresses`: which entries to use.
+//! `GET /v1/addresses`: the entries that callers may connect to.
 
 use std::sync::Arc;
 
@@ -11,8 +11,10 @@
 use crate::core;
 use crate::refusal::Refusal;
 
-/// Tells callers the entries that take requests. It needs no key, since a caller
-/// asks before anything else and learns only addresses.
+/// Lists the entries that accept requests.
+///
+/// It requires no key: callers ask before they send anything else, and the response
+/// contains only addresses.
 #[derive(Debug)]
 pub(crate) struct Addresses {
     pub core: Arc<core::Core>,
@@ -27,7 +29,7 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        match self.answer() {
+        match self.list() {
             Ok(answer) => super::write_json(res, answer),
             Err(refusal) => refusal.write(None, res),
         }
@@ -35,21 +37,22 @@
 }
 
 impl Addresses {
-    fn answer(&self) -> Result<String, Refusal> {
+    fn list(&self) -> Result<String, Refusal> {
         let view = self.core.serving_view()?;
-        let entries = view.active_entries().map(|member| caller::Address {
-            address: member.address,
-            domain: member.domain.clone(),
+        let entries = view.active_entries().map(|entry| caller::Address {
+            address: entry.address,
+            domain: entry.domain.clone(),
         });
         let mut addresses: Vec<caller::Address> = entries.collect();
         if addresses.is_empty() && !self.core.is_draining() {
-            // The fleet has just started; this entry serves, as its lease shows.
+            // The fleet has just started and lists no entry yet. This entry holds a lease, so it
+            // can serve.
             addresses.push(caller::Address {
                 address: self.core.advertised(),
                 domain: self.core.settings.entry.domain.clone(),
             });
         }
-        // Callers take the first that works; the order spreads them.
+        // Callers use the first address that works, so a random order spreads the load.
         addresses.shuffle(&mut rand::rng());
         let second = duration::Span::from_secs(1).0;
         let lifetime = (view.defaults().address_lifetime.0 / second).max(1);
--- a/crates/cranberrygap-entry/src/caller/auth.rs
+++ b/crates/cranberrygap-entry/src/caller/auth.rs
@@ -1,4 +1,4 @@
-//! Which workspace a request runs for.
+//! Authentication: finds the workspace of a request's key.
 
 use cranberrygap_model::id;
 use salvo::http::{Request, header};
@@ -6,13 +6,13 @@
 use crate::refusal::Refusal;
 use crate::view;
 
-const SCHEME: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// Shortest part of a body that is compared with a secret; secrets are longer.
-const SHORTEST_SECRET: usize = 8;
+/// Shortest secret that is searched for in a request, in bytes. Issued secrets are longer.
+const MIN_SECRET_BYTES: usize = 8;
 
-/// The workspace of the request's key, with the secret for [`check_hidden`].
-pub(crate) fn workspace(
+/// Returns the workspace of the request's key, and the secret for [`check_key_exposure`].
+pub(crate) fn authenticate(
     request: &Request,
     view: &view::Snapshot,
 ) -> Result<(id::Workspace, String), Refusal> {
@@ -21,26 +21,28 @@
         .get(header::AUTHORIZATION)
         .ok_or(Refusal::KeyUnknown)?;
     let text = header.to_str().map_err(|_cause| Refusal::KeyUnknown)?;
-    let secret = text.strip_prefix(SCHEME).ok_or(Refusal::KeyUnknown)?.trim();
+    let secret = text
+        .strip_prefix(BEARER_PREFIX)
+        .ok_or(Refusal::KeyUnknown)?
+        .trim();
     let hash = cranberrygap_state::key::hash(secret);
     let key = view.key(&hash).ok_or(Refusal::KeyUnknown)?;
     Ok((key.workspace.clone(), secret.to_owned()))
 }
 
-/// Refuses a request whose passed-on parts contain its own key.
+/// Refuses a request if a part that is forwarded to an endpoint contains the key.
 ///
-/// A client library that is set up wrongly may put the key into the body or the
-/// path. The endpoint would then see and perhaps log it; nobody would notice
-/// until it is misused.
-pub(crate) fn check_hidden(secret: &str, passed_on: &[&[u8]]) -> Result<(), Refusal> {
+/// A misconfigured client library may put the key into the body or the path. The endpoint
+/// would then see the key and might log it, and nobody would notice before it is misused.
+pub(crate) fn check_key_exposure(secret: &str, forwarded: &[&[u8]]) -> Result<(), Refusal> {
     let needle = secret.as_bytes();
-    if needle.len() < SHORTEST_SECRET {
+    if needle.len() < MIN_SECRET_BYTES {
         return Ok(());
     }
-    let shown = passed_on
+    let is_exposed = forwarded
         .iter()
-        .any(|part| part.windows(needle.len()).any(|at| at == needle));
-    if shown {
+        .any(|part| part.windows(needle.len()).any(|window| window == needle));
+    if is_exposed {
         Err(Refusal::KeyExposed)
     } else {
         Ok(())
--- a/crates/cranberrygap-entry/src/caller/generate.rs
+++ b/crates/cranberrygap-entry/src/caller/generate.rs
@@ -21,20 +21,21 @@
 
 use super::{auth, body};
 
-/// Requests that all entries together keep at one engine. Engines do not say how
-/// many they batch; this is above what any of them did in `measure path`, where a
-/// bound of 256 held requests back that the engine would have run.
-const AT_ONE_ENGINE: usize = 1_024;
+/// Limit on the requests that all entries together have at one engine.
+///
+/// Engines do not report their batch size, so the limit is above the largest batch that was
+/// measured. A limit of 256 held back requests that the engine would have run.
+const MAX_REQUESTS_PER_ENGINE: usize = 1_024;
 
-/// Places that one entry has at one engine at least.
-const LEAST_PLACES: usize = 4;
+/// Requests that one entry may always have at one engine, however many entries there are.
+const MIN_REQUESTS_PER_ENGINE: usize = 4;
 
-/// Answers model requests on one path.
+/// Handler of the model requests on one path.
 #[derive(Debug)]
 pub(crate) struct Generate {
     pub core: Arc<core::Core>,
     pub path: &'static str,
-    /// Key of the body that holds the prompt.
+    /// Key of the prompt in the body.
     pub prompt_key: &'static str,
 }
 
@@ -50,8 +51,8 @@
         let id = super::request_id(req);
         super::write_request_id(&id, res);
         let mut about = note::About::request(&id);
-        if let Err(refusal) = self.answer(&id, req, res, &mut about).await {
-            self.core.trace.refused(&about, &refusal);
+        if let Err(refusal) = self.respond(&id, req, res, &mut about).await {
+            self.core.trace.record_refusal(&about, &refusal);
             refusal.write(Some(&id), res);
         }
     }
@@ -64,24 +65,29 @@
             "admitted",
             "admitted: the share of its workspace covers the most it can cost",
             &[
-                ("reserved_tokens", &body.bound()),
-                ("prompt_tokens_at_most", &body.prompt),
+                ("reserved_tokens", &body.max_cost()),
+                ("prompt_tokens_at_most", &body.prompt_tokens),
                 ("max_tokens", &body.max_tokens),
                 ("streamed", &body.stream),
             ],
         );
     }
 
-    /// A place at the model's engines, in fair order among the workspaces.
-    async fn place(
+    /// Waits for a place at the model's engines, which is shared fairly among the workspaces.
+    ///
+    /// Returns `None` if no engine is ready.
+    async fn enter_queue(
         &self,
         view: &view::Snapshot,
         workspace: &id::Workspace,
-        call: &engine::Request,
+        engine_request: &engine::Request,
     ) -> Result<Option<queue::Place>, Refusal> {
-        let engines = self.core.router.ready_runner_count(&call.body.model);
+        let engines = self
+            .core
+            .router
+            .ready_runner_count(&engine_request.body.model);
         if engines == 0 {
-            // Whether to wait for a load is the router's to say.
+            // The router decides whether the request waits until the model is loaded.
             return Ok(None);
         }
         let entries = view.active_entries().count().max(1);
@@ -90,20 +96,20 @@
         let exception = view.exception(target, workspace.as_str());
         let weight = exception.and_then(|exception| exception.weight);
         let wish = queue::Wish {
-            model: call.body.model.clone(),
+            model: engine_request.body.model.clone(),
             workspace: workspace.clone(),
             weight: weight.unwrap_or(defaults.weight),
-            cost: call.body.bound(),
+            cost: engine_request.body.max_cost(),
             patience: defaults.queue_deadline,
-            capacity: engines * (AT_ONE_ENGINE / entries).max(LEAST_PLACES),
+            capacity: engines * (MAX_REQUESTS_PER_ENGINE / entries).max(MIN_REQUESTS_PER_ENGINE),
             length: defaults.queue_length as usize,
         };
-        let entered = self.core.queues.enter(&wish).await;
-        let refused = |retry_after| Refusal::NoEndpoint { retry_after };
-        entered.map(Some).map_err(refused)
+        let result = self.core.queues.enter(&wish).await;
+        let refusal = |retry_after| Refusal::NoEndpoint { retry_after };
+        result.map(Some).map_err(refusal)
     }
 
-    async fn answer(
+    async fn respond(
         &self,
         id: &id::Request,
         request: &mut Request,
@@ -111,11 +117,11 @@
         about: &mut note::About,
     ) -> Result<(), Refusal> {
         let view = self.core.serving_view()?;
-        let (workspace, secret) = auth::workspace(request, &view)?;
+        let (workspace, secret) = auth::authenticate(request, &view)?;
         about.workspace = Some(workspace.clone());
         let bytes = crate::server::read_body(request, &self.core).await?;
-        auth::check_hidden(&secret, &[&bytes, id.as_str().as_bytes()])?;
-        let default_max = max_tokens(&view, &workspace);
+        auth::check_key_exposure(&secret, &[&bytes, id.as_str().as_bytes()])?;
+        let default_max = default_max_tokens(&view, &workspace);
         let body = body::Body::parse(&bytes, self.prompt_key, default_max)?;
         if !view.has_model(&body.model) {
             return Err(Refusal::ModelUnknown(body.model.as_str().into()));
@@ -124,27 +130,27 @@
         let fingerprint = body.fingerprint(&workspace, self.path);
         core::Core::check_quarantine(&view, &fingerprint)?;
         let limiter = &self.core.limiter;
-        let permit = admission::Permit::reserve(limiter, &workspace, body.bound()).await?;
+        let permit = admission::Permit::reserve(limiter, &workspace, body.max_cost()).await?;
         self.note_admitted(about, &body);
-        let progress = attainment::Progress::arrived(&self.core, &body.model, view.defaults());
-        let call = engine::Request {
+        let progress = attainment::Progress::start(&self.core, &body.model, view.defaults());
+        let engine_request = engine::Request {
             id: id.clone(),
             about: about.clone(),
             path: self.path,
             fingerprint,
-            deadline: self.core.now().after(deadline(&view, &body.model)),
+            deadline: self.core.now().after(request_deadline(&view, &body.model)),
             body,
         };
-        let place = self.place(&view, &workspace, &call).await?;
-        let delivery = engine::Delivery::new(&self.core, &Arc::new(call), place);
+        let queue_place = self.enter_queue(&view, &workspace, &engine_request).await?;
+        let delivery = engine::Delivery::new(&self.core, &Arc::new(engine_request), queue_place);
         if delivery.request().body.stream {
-            return stream(response, delivery, permit, progress).await;
+            return respond_stream(response, delivery, permit, progress).await;
         }
-        whole(response, delivery, permit, progress).await
+        respond_whole(response, delivery, permit, progress).await
     }
 }
 
-async fn stream(
+async fn respond_stream(
     response: &mut Response,
     mut delivery: engine::Delivery,
     mut permit: admission::Permit,
@@ -152,34 +158,36 @@
 ) -> Result<(), Refusal> {
     let answer = match delivery.send(0).await {
         Ok(answer) => answer,
-        Err(refusal) => return Err(refused(&delivery, &mut permit, refusal)),
+        Err(refusal) => return Err(charge_refused(&delivery, &mut permit, refusal)),
     };
     let events = HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, events);
-    let fresh = HeaderValue::from_static("no-cache");
-    response.headers_mut().insert(header::CACHE_CONTROL, fresh);
+    let no_cache = HeaderValue::from_static("no-cache");
+    response
+        .headers_mut()
+        .insert(header::CACHE_CONTROL, no_cache);
     let relay = relay::Relay::new(delivery, answer, permit, progress);
     response.stream(relay.into_stream());
     Ok(())
 }
 
-/// Reads the whole answer before a byte goes out, so that a cut one is a failure
-/// and not a shorter answer.
-async fn whole(
+/// Reads the whole answer before it sends a byte to the caller, so that a truncated answer
+/// is a failure and does not pass for a shorter one.
+async fn respond_whole(
     response: &mut Response,
     mut delivery: engine::Delivery,
     mut permit: admission::Permit,
     mut progress: attainment::Progress,
 ) -> Result<(), Refusal> {
-    let (bytes, total) = match read_whole(&mut delivery).await {
-        Ok(read) => read,
-        Err(refusal) => return Err(refused(&delivery, &mut permit, refusal)),
+    let (bytes, total) = match fetch_whole(&mut delivery).await {
+        Ok(response) => response,
+        Err(refusal) => return Err(charge_refused(&delivery, &mut permit, refusal)),
     };
     match total {
         Some(used) => permit.set_used(token::Count(used)),
         None => permit.mark_all_used(),
     }
-    progress.token();
+    progress.record_token();
     progress.finish();
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -187,27 +195,27 @@
     Ok(())
 }
 
-/// The whole answer and the tokens that it used.
-async fn read_whole(delivery: &mut engine::Delivery) -> Result<(Bytes, Option<u64>), Refusal> {
+/// Returns the whole answer and the number of tokens that it used, if the engine reports it.
+async fn fetch_whole(delivery: &mut engine::Delivery) -> Result<(Bytes, Option<u64>), Refusal> {
     loop {
         let answer = delivery.send(0).await?;
-        let mut sent = answer.attempt;
+        let mut attempt = answer.attempt;
         let evidence = match answer.http.bytes().await {
             Ok(bytes) => match serde_json::from_slice::<serde_json::Value>(&bytes) {
                 Ok(parsed) => {
-                    sent.record_complete();
+                    attempt.record_complete();
                     return Ok((bytes, parsed["usage"]["total_tokens"].as_u64()));
                 }
                 Err(_malformed) => Evidence::CutAnswer,
             },
             Err(_cause) => Evidence::ConnectionBroke,
         };
-        delivery.handle_failure(evidence, sent).await?;
+        delivery.handle_failure(evidence, attempt).await?;
     }
 }
 
-/// Counts the whole reservation as used unless it is proven that nothing ran.
-fn refused(
+/// Marks the whole reservation as used unless it is proven that no engine ran the request.
+fn charge_refused(
     delivery: &engine::Delivery,
     permit: &mut admission::Permit,
     refusal: Refusal,
@@ -218,14 +226,14 @@
     refusal
 }
 
-fn deadline(view: &view::Snapshot, model: &id::Model) -> duration::Span {
+fn request_deadline(view: &view::Snapshot, model: &id::Model) -> duration::Span {
     let exception = view.exception(configuration::Target::Model, model.as_str());
     exception
         .and_then(|exception| exception.request_deadline)
         .unwrap_or(view.defaults().request_deadline)
 }
 
-fn max_tokens(view: &view::Snapshot, workspace: &id::Workspace) -> u64 {
+fn default_max_tokens(view: &view::Snapshot, workspace: &id::Workspace) -> u64 {
     let exception = view.exception(configuration::Target::Workspace, workspace.as_str());
     exception
         .and_then(|exception| exception.max_tokens)
--- a/crates/cranberrygap-entry/src/caller/models.rs
+++ b/crates/cranberrygap-entry/src/caller/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`.
+//! `GET /v1/models`: the models of the catalogue.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use super::auth;
 
-/// Lists the models that callers may name.
+/// Lists the models that callers may request.
 #[derive(Debug)]
 pub(crate) struct Models {
     pub core: Arc<core::Core>,
@@ -37,7 +37,7 @@
 impl Models {
     fn list(&self, request: &Request) -> Result<String, Refusal> {
         let view = self.core.serving_view()?;
-        let _workspace = auth::workspace(request, &view)?;
+        let _workspace = auth::authenticate(request, &view)?;
         let models = view.catalogue().keys().map(|model| {
             serde_json::json!({ "id": model, "object": "model", "created": 0, "owned_by": "fleet" })
         });
--- a/crates/cranberrygap-entry/src/caller/pattern.rs
+++ b/crates/cranberrygap-entry/src/caller/pattern.rs
@@ -1,18 +1,18 @@
-//! Which calls of a service may be repeated, as the configuration lists them.
+//! Patterns in the configuration that list the idempotent calls of a service.
 
-/// Whether `pattern`, such as `GET /lookup/*`, covers a call.
+/// Whether a call matches `pattern`, such as `GET /lookup/*`.
 ///
-/// A star at the end stands for any rest of the path without `..`.
+/// A star at the end matches any rest of the path. A path with `..` matches no pattern.
 #[must_use]
 pub fn matches(pattern: &str, method: &str, path: &str) -> bool {
-    let Some((wanted_method, wanted_path)) = pattern.split_once(' ') else {
+    let Some((pattern_method, pattern_path)) = pattern.split_once(' ') else {
         return false;
     };
-    if wanted_method != method || path.contains("..") {
+    if pattern_method != method || path.contains("..") {
         return false;
     }
-    match wanted_path.trim().strip_suffix('*') {
+    match pattern_path.trim().strip_suffix('*') {
         Some(prefix) => path.starts_with(prefix),
-        None => path == wanted_path.trim(),
+        None => path == pattern_path.trim(),
     }
 }
--- a/crates/cranberrygap-entry/src/caller/services.rs
+++ b/crates/cranberrygap-entry/src/caller/services.rs
@@ -1,4 +1,4 @@
-//! `/services/{name}/...`: calls of plain services.
+//! `/services/{name}/...`: forwards calls to plain services.
 
 mod completion;
 
@@ -25,29 +25,29 @@
 
 use super::{auth, pattern};
 
-/// Header by which callers name a booking.
+/// Header with the key that identifies a booking, a call that runs at most once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Longest idempotency key, in bytes. Bounds what a claim stores.
-const LONGEST_KEY: usize = 200;
+/// Longest idempotency key, in bytes. It limits the size of a stored claim.
+const MAX_KEY_BYTES: usize = 200;
 
-/// Wait before callers may try again when no endpoint serves.
-const NO_ENDPOINT_WAIT: duration::Span = duration::Span::from_secs(1);
+/// Retry delay that callers are given when no endpoint can take the call.
+const NO_ENDPOINT_RETRY_AFTER: duration::Span = duration::Span::from_secs(1);
 
-/// Passes calls on to a plain service.
+/// Handler that forwards calls to plain services.
 #[derive(Debug)]
 pub(crate) struct Services {
     pub core: Arc<core::Core>,
 }
 
-/// One call, checked and admitted.
+/// A parsed call of a service.
 #[derive(Debug)]
 struct Call {
     id: id::Request,
     workspace: id::Workspace,
     service: id::Service,
     method: salvo::http::Method,
-    /// Path and query as the service sees them.
+    /// Path and query that the service receives.
     path: String,
     content_type: Option<HeaderValue>,
     key: Option<SmolStr>,
@@ -56,8 +56,8 @@
 }
 
 impl Call {
-    /// Everything of the caller's that the service will see.
-    fn passed_on(&self) -> [&[u8]; 5] {
+    /// Parts of the caller's request that the service receives.
+    fn forwarded_parts(&self) -> [&[u8]; 5] {
         let key = self.key.as_deref().unwrap_or_default();
         let content_type = self.content_type.as_ref();
         [
@@ -89,15 +89,15 @@
         let id = super::request_id(req);
         super::write_request_id(&id, res);
         let mut about = note::About::request(&id);
-        if let Err(refusal) = self.answer(&id, req, res, &mut about).await {
-            self.core.trace.refused(&about, &refusal);
+        if let Err(refusal) = self.respond(&id, req, res, &mut about).await {
+            self.core.trace.record_refusal(&about, &refusal);
             refusal.write(Some(&id), res);
         }
     }
 }
 
 impl Services {
-    async fn answer(
+    async fn respond(
         &self,
         id: &id::Request,
         request: &mut Request,
@@ -105,17 +105,17 @@
         about: &mut note::About,
     ) -> Result<(), Refusal> {
         let view = self.core.serving_view()?;
-        let (workspace, secret) = auth::workspace(request, &view)?;
+        let (workspace, secret) = auth::authenticate(request, &view)?;
         about.workspace = Some(workspace.clone());
-        let call = self.read(id, workspace, request, &view).await?;
-        auth::check_hidden(&secret, &call.passed_on())?;
-        let cost = token::Count(cost(&view, &call.service));
+        let call = self.parse(id, workspace, request, &view).await?;
+        auth::check_key_exposure(&secret, &call.forwarded_parts())?;
+        let cost = token::Count(service_cost(&view, &call.service));
         let limiter = &self.core.limiter;
         let mut permit = admission::Permit::reserve(limiter, &call.workspace, cost).await?;
         let outcome = if is_idempotent(&view, &call) {
-            self.look_up(&call).await
+            self.send_idempotent(&call).await
         } else {
-            self.book(call).await
+            self.run_booking(call).await
         };
         if !matches!(&outcome, Err(refusal) if is_not_run(refusal)) {
             permit.mark_all_used();
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    async fn read(
+    async fn parse(
         &self,
         id: &id::Request,
         workspace: id::Workspace,
@@ -135,10 +135,10 @@
         let service: id::Service = name
             .and_then(|name| name.parse().ok())
             .ok_or(Refusal::PathUnknown)?;
-        let known = view.endpoints().values();
-        if !known
+        let endpoints = view.endpoints().values();
+        if !endpoints
             .into_iter()
-            .any(|e| e.announcement.service.as_ref() == Some(&service))
+            .any(|endpoint| endpoint.announcement.service.as_ref() == Some(&service))
         {
             return Err(Refusal::PathUnknown);
         }
@@ -147,24 +147,24 @@
             id: id.clone(),
             workspace,
             method: request.method().clone(),
-            path: passed_path(request, &service),
+            path: service_path(request, &service),
             content_type: request.headers().get(header::CONTENT_TYPE).cloned(),
             key: idempotency_key(request)?,
             body,
-            deadline: deadline(view, &service),
+            deadline: booking_deadline(view, &service),
             service,
         })
     }
 
-    /// Sends a call that may be repeated until an endpoint answers, as far as the
-    /// retry budget and the deadline allow.
-    async fn look_up(&self, call: &Call) -> Result<completion::Completion, Refusal> {
+    /// Sends an idempotent call until an endpoint answers, within the retry budget and the
+    /// deadline.
+    async fn send_idempotent(&self, call: &Call) -> Result<completion::Completion, Refusal> {
         let deadline = self.core.now().after(call.deadline);
         self.core.retries.lock().record_request();
         let mut tried = route::Tried::new();
         let mut outcome = Outcome::NotRun;
         for number in 1.. {
-            let Some(choice) = self.choose_another(call, &mut tried) else {
+            let Some(destination) = self.choose_untried(call, &mut tried) else {
                 break;
             };
             let client = if number > 1 {
@@ -172,7 +172,7 @@
             } else {
                 self.core.upstream.pooled()
             };
-            let completion = self.dispatch(call, &choice, client).await;
+            let completion = self.dispatch(call, &destination, client).await;
             let completion::Completion::Failed(evidence) = completion else {
                 return Ok(completion);
             };
@@ -183,20 +183,20 @@
                 outcome,
                 deadline,
             };
-            if !self.may_send_again(attempt).await {
+            if !self.await_retry(attempt).await {
                 break;
             }
         }
         if outcome == Outcome::NotRun {
             return Err(Refusal::NoEndpoint {
-                retry_after: NO_ENDPOINT_WAIT,
+                retry_after: NO_ENDPOINT_RETRY_AFTER,
             });
         }
         Err(Refusal::EndpointFailed)
     }
 
-    /// Asks the retry budget and waits as it says.
-    async fn may_send_again(&self, attempt: retry::Attempt) -> bool {
+    /// Waits for the backoff of a retry; false if the retry budget denies it.
+    async fn await_retry(&self, attempt: retry::Attempt) -> bool {
         let now = self.core.now();
         let decision = {
             let mut budget = self.core.retries.lock();
@@ -209,93 +209,95 @@
         true
     }
 
-    /// An endpoint that was not tried, or the first again when all were.
-    fn choose_another(&self, call: &Call, tried: &mut route::Tried) -> Option<route::Destination> {
-        let mut choice = self.choose(call, tried);
-        if choice.is_none() {
+    /// Chooses an endpoint that was not tried, or any if all were, and marks it as tried.
+    fn choose_untried(&self, call: &Call, tried: &mut route::Tried) -> Option<route::Destination> {
+        let mut destination = self.choose(call, tried);
+        if destination.is_none() {
             tried.clear();
-            choice = self.choose(call, tried);
+            destination = self.choose(call, tried);
         }
-        let choice = choice?;
-        tried.push(choice.endpoint.clone());
-        Some(choice)
+        let destination = destination?;
+        tried.push(destination.endpoint.clone());
+        Some(destination)
     }
 
-    /// Runs a call that may run at most once, in a task of its own: a caller that
-    /// leaves must not stop it half way, with its outcome unrecorded.
-    async fn book(&self, call: Call) -> Result<completion::Completion, Refusal> {
+    /// Runs a booking in a task of its own, so that a caller that disconnects does not cancel
+    /// it before its outcome is recorded.
+    async fn run_booking(&self, call: Call) -> Result<completion::Completion, Refusal> {
         let core = Arc::clone(&self.core);
-        let task = tokio::spawn(async move { Self { core }.book_once(&call).await });
+        let task = tokio::spawn(async move { Self { core }.complete_booking(&call).await });
         task.await.unwrap_or(Err(Refusal::BookingUnknown))
     }
 
-    async fn book_once(&self, call: &Call) -> Result<completion::Completion, Refusal> {
+    /// Opens the claim, sends the call, records its outcome and returns the reply.
+    async fn complete_booking(&self, call: &Call) -> Result<completion::Completion, Refusal> {
         let key = call.key.clone().ok_or(Refusal::IdempotencyKeyMissing)?;
         let booking = booking::Booking {
             workspace: call.workspace.clone(),
             key,
-            body_hash: booking::body_hash(call.method.as_str(), &call.path, &call.body),
+            call_hash: booking::hash_call(call.method.as_str(), &call.path, &call.body),
             request: call.id.clone(),
         };
-        let mut decisions = claims::Booking::new();
-        let mut input = booking.open(&self.core).await;
+        let mut state = claims::Booking::new();
+        let mut input = booking.open_claim(&self.core).await;
         if let claims::Input::Verdict(claim::Verdict::Stored { .. }) = &input {
             let sentence = "the booking has run before; its stored answer was given";
             self.core.trace.note(&call.about(), "stored", sentence, &[]);
         }
         loop {
-            let output = decisions.step(input).pop();
+            let output = state.step(input).pop();
             input = match output {
-                Some(claims::Output::Dispatch) => self.run_booking(call).await,
+                Some(claims::Output::Dispatch) => self.dispatch_booking(call).await,
                 Some(claims::Output::Close {
                     claim,
                     outcome,
                     after,
                 }) => {
                     tokio::time::sleep(after.to_std()).await;
-                    booking.close(&self.core, claim, outcome).await
+                    booking.close_claim(&self.core, claim, outcome).await
                 }
                 Some(claims::Output::Reply(reply)) => {
-                    return booking::answer(reply).map(|stored| completion::from_stored(&stored));
+                    return booking::to_result(reply)
+                        .map(|stored| completion::from_stored(&stored));
                 }
                 None => return Err(Refusal::BookingUnknown),
             };
         }
     }
 
-    /// Sends a booking, which has its claim by now, over a connection of its own.
-    async fn run_booking(&self, call: &Call) -> claims::Input {
+    /// Sends a booking that holds its claim, over a connection of its own.
+    async fn dispatch_booking(&self, call: &Call) -> claims::Input {
         let sentence = "the right to run the booking once was committed";
         self.core
             .trace
             .note(&call.about(), "claimed", sentence, &[]);
-        let Some(choice) = self.choose(call, &route::Tried::new()) else {
+        let Some(destination) = self.choose(call, &route::Tried::new()) else {
             return claims::Input::Ended(Evidence::NeverDispatched);
         };
         let client = self.core.upstream.unpooled();
-        let completion = self.dispatch(call, &choice, client).await;
+        let completion = self.dispatch(call, &destination, client).await;
         completion::to_input(&completion)
     }
 
     fn choose(&self, call: &Call, tried: &route::Tried) -> Option<route::Destination> {
-        let wanted = route::Query {
+        let query = route::Query {
             model: None,
             service: Some(&call.service),
             tried,
         };
-        self.core.router.choose(self.core.now(), &wanted)
+        self.core.router.choose(self.core.now(), &query)
     }
 
     async fn dispatch(
         &self,
         call: &Call,
-        choice: &route::Destination,
+        destination: &route::Destination,
         client: &reqwest::Client,
     ) -> completion::Completion {
-        let about = call.about().at(&choice.endpoint);
+        let about = call.about().at(&destination.endpoint);
         let sentence = "sent to the endpoint";
         self.core.trace.note(&about, "sent", sentence, &[]);
-        let completion = self.send(call, choice, client).await;
+        let completion = self.send(call, destination, client).await;
         let sentence = match &completion {
             completion::Completion::Answered { .. } => "the endpoint answered",
             completion::Completion::Failed(evidence) => match Outcome::from_evidence(*evidence) {
@@ -307,30 +309,30 @@
         let failed = matches!(completion, completion::Completion::Failed(_));
         self.core
             .router
-            .record_ended(self.core.now(), choice, failed);
+            .record_ended(self.core.now(), destination, failed);
         completion
     }
 
     async fn send(
         &self,
         call: &Call,
-        choice: &route::Destination,
+        destination: &route::Destination,
         client: &reqwest::Client,
     ) -> completion::Completion {
-        let url = format!("http://{}{}", choice.address, call.path);
-        let mut sending = client
+        let url = format!("http://{}{}", destination.address, call.path);
+        let mut builder = client
             .request(call.method.clone(), url)
             .timeout(Duration::from_micros(call.deadline.0))
             .header(engine::REQUEST_ID_HEADER, call.id.as_str())
             .body(Bytes::clone(&call.body));
         if let Some(content_type) = &call.content_type {
-            sending = sending.header(header::CONTENT_TYPE, content_type);
+            builder = builder.header(header::CONTENT_TYPE, content_type);
         }
         if let Some(key) = &call.key {
-            sending = sending.header(IDEMPOTENCY_KEY, key.as_str());
+            builder = builder.header(IDEMPOTENCY_KEY, key.as_str());
         }
-        match sending.send().await {
-            Ok(answer) => completion::read_answer(answer).await,
+        match builder.send().await {
+            Ok(response) => completion::read_response(response).await,
             Err(cause) => completion::Completion::Failed(engine::evidence_of(&cause)),
         }
     }
@@ -340,7 +342,7 @@
     refusal.outcome() == cranberrygap_wire::caller::Outcome::NotRun
 }
 
-fn passed_path(request: &Request, service: &id::Service) -> String {
+fn service_path(request: &Request, service: &id::Service) -> String {
     let path = request.uri().path();
     let prefix = format!("/services/{service}");
     let rest = path.strip_prefix(prefix.as_str()).unwrap_or(path);
@@ -358,7 +360,7 @@
     let text = value
         .to_str()
         .map_err(|_cause| Refusal::IdempotencyKeyMissing)?;
-    if text.is_empty() || text.len() > LONGEST_KEY {
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(Refusal::IdempotencyKeyMissing);
     }
     Ok(Some(SmolStr::new(text)))
@@ -378,12 +380,12 @@
     patterns.any(|pattern| pattern::matches(pattern, call.method.as_str(), path))
 }
 
-fn cost(view: &view::Snapshot, service: &id::Service) -> u64 {
-    let excepted = exception(view, service).and_then(|exception| exception.service_cost);
-    excepted.unwrap_or(view.defaults().service_cost)
+fn service_cost(view: &view::Snapshot, service: &id::Service) -> u64 {
+    let exceptional = exception(view, service).and_then(|exception| exception.service_cost);
+    exceptional.unwrap_or(view.defaults().service_cost)
 }
 
-fn deadline(view: &view::Snapshot, service: &id::Service) -> duration::Span {
-    let excepted = exception(view, service).and_then(|exception| exception.booking_deadline);
-    excepted.unwrap_or(view.defaults().booking_deadline)
+fn booking_deadline(view: &view::Snapshot, service: &id::Service) -> duration::Span {
+    let exceptional = exception(view, service).and_then(|exception| exception.booking_deadline);
+    exceptional.unwrap_or(view.defaults().booking_deadline)
 }
--- a/crates/cranberrygap-entry/src/caller/services/completion.rs
+++ b/crates/cranberrygap-entry/src/caller/services/completion.rs
@@ -1,4 +1,4 @@
-//! How a call of a plain service ended.
+//! The result of a call of a plain service.
 
 use bytes::Bytes;
 use cranberrygap_policy::claims;
@@ -8,7 +8,7 @@
 
 use crate::booking;
 
-/// How a dispatch ended.
+/// Result of sending a call to an endpoint.
 #[derive(Debug)]
 pub(super) enum Completion {
     Answered {
@@ -16,22 +16,23 @@
         content_type: HeaderValue,
         body: Bytes,
     },
-    /// No whole answer came; the evidence tells what may have happened.
+    /// No whole response arrived; the evidence shows what may have happened.
     Failed(Evidence),
 }
 
-pub(super) async fn read_answer(answer: reqwest::Response) -> Completion {
-    let status = answer.status();
+/// Reads the whole response of an endpoint.
+pub(super) async fn read_response(response: reqwest::Response) -> Completion {
+    let status = response.status();
     let default = HeaderValue::from_static("application/octet-stream");
-    let content_type = answer
+    let content_type = response
         .headers()
         .get(header::CONTENT_TYPE)
         .cloned()
         .unwrap_or(default);
-    // A body shorter than its announced length fails here; it must not be taken
-    // for the whole answer.
-    match answer.bytes().await {
-        Ok(body) if says_not_run(status, &body) => Completion::Failed(Evidence::EndpointRefused),
+    // A body that is shorter than its content length is an error here, so a truncated
+    // body does not pass for the whole response.
+    match response.bytes().await {
+        Ok(body) if reports_not_run(status, &body) => Completion::Failed(Evidence::EndpointRefused),
         Ok(body) => Completion::Answered {
             status,
             content_type,
@@ -41,21 +42,22 @@
     }
 }
 
-/// Whether the service itself says that it did not run the call. The status alone
-/// proves nothing; something between may have set it.
-fn says_not_run(status: StatusCode, body: &[u8]) -> bool {
-    let refuses = [
+/// Whether the service itself reports that it did not run the call.
+///
+/// The status alone proves nothing, as a proxy in between may have set it.
+fn reports_not_run(status: StatusCode, body: &[u8]) -> bool {
+    let refusal_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if !refuses.contains(&status) {
+    if !refusal_statuses.contains(&status) {
         return false;
     }
-    let said = serde_json::from_slice::<serde_json::Value>(body);
-    said.is_ok_and(|said| said["outcome"] == "not_run")
+    let parsed = serde_json::from_slice::<serde_json::Value>(body);
+    parsed.is_ok_and(|parsed| parsed["outcome"] == "not_run")
 }
 
-/// What the decisions about bookings are told of it.
+/// Converts the result into the input of a booking's state machine.
 pub(super) fn to_input(completion: &Completion) -> claims::Input {
     match completion {
         Completion::Answered {
@@ -64,12 +66,13 @@
             body,
         } => {
             let content_type = content_type.to_str().unwrap_or_default();
-            claims::Input::Answered(booking::response(status.as_u16(), content_type, body))
+            claims::Input::Answered(booking::to_stored(status.as_u16(), content_type, body))
         }
         Completion::Failed(evidence) => claims::Input::Ended(*evidence),
     }
 }
 
+/// Converts the stored response of an earlier booking.
 pub(super) fn from_stored(stored: &claim::Response) -> Completion {
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let content_type = HeaderValue::from_str(&stored.content_type);
@@ -77,10 +80,11 @@
     Completion::Answered {
         status,
         content_type,
-        body: booking::stored_body(stored),
+        body: booking::decode_body(stored),
     }
 }
 
+/// Writes an endpoint's response to the caller; a failure writes nothing.
 pub(super) fn write(completion: Completion, response: &mut Response) {
     if let Completion::Answered {
         status,
--- a/crates/cranberrygap-entry/src/chunk.rs
+++ b/crates/cranberrygap-entry/src/chunk.rs
@@ -1,4 +1,4 @@
-//! One event of an engine's stream, as far as this system must understand it.
+//! The data of one event in an engine's stream. Fields that the entry does not use are ignored.
 
 use std::borrow::Cow;
 
@@ -7,7 +7,7 @@
 use serde::de::IgnoredAny;
 use smallvec::SmallVec;
 
-/// The content of an event.
+/// Parsed data of an event.
 #[derive(Debug, Default, Deserialize)]
 pub(crate) struct Chunk<'data> {
     #[serde(borrow, default)]
@@ -37,12 +37,12 @@
 }
 
 impl<'data> Chunk<'data> {
-    /// Reads an event's data; one in another form counts as without content.
-    pub(crate) fn read(data: &'data [u8]) -> Self {
+    /// Parses an event's data; data that is malformed gives a chunk without content.
+    pub(crate) fn parse(data: &'data [u8]) -> Self {
         serde_json::from_slice(data).unwrap_or_default()
     }
 
-    /// What the event stands for, in order.
+    /// The stream events that the data contains, in order.
     pub(crate) fn events(&self) -> SmallVec<[Event; 2]> {
         let mut events = SmallVec::new();
         for choice in &self.choices {
@@ -54,17 +54,17 @@
             }
         }
         if events.is_empty() {
-            let rest = if self.usage.is_some() {
+            let event = if self.usage.is_some() {
                 Event::Usage
             } else {
                 Event::Other
             };
-            events.push(rest);
+            events.push(event);
         }
         events
     }
 
-    /// Tokens that the engine says it used, prompt and answer.
+    /// Tokens of prompt and answer that the engine reports as used.
     pub(crate) fn total_tokens(&self) -> Option<u64> {
         self.usage.as_ref().map(|usage| usage.total_tokens)
     }
--- a/crates/cranberrygap-entry/src/discovery.rs
+++ b/crates/cranberrygap-entry/src/discovery.rs
@@ -1,4 +1,4 @@
-//! What an entry tells to other listeners of the same process.
+//! Discovery of entries and readiness, for other listeners of the same process.
 
 use std::sync::Arc;
 
@@ -7,11 +7,11 @@
 
 use crate::core;
 
-/// Entries of a caller's own failure domain that make it enough to name only those.
-/// With one alone, its callers would have nobody when it fails.
-const ENOUGH: usize = 2;
+/// Number of entries that a failure domain needs for its callers to get only those. With a
+/// single entry, they would have no other when it fails.
+const MIN_DOMAIN_ENTRIES: usize = 2;
 
-/// Parts of the entry for other forms of the address answer and readiness checks.
+/// Address lists and readiness of an entry, for listeners that use another protocol.
 #[derive(Debug, Clone)]
 pub struct Discovery {
     core: Arc<core::Core>,
@@ -22,52 +22,54 @@
         Self { core }
     }
 
-    /// Whether callers may come: there is a plan, a lease on it and no planned stop.
+    /// Whether the entry is ready: it has a traffic plan and a lease on it and is not draining.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let view = self.core.view.current(self.core.now());
-        let planned = view.is_some_and(|view| view.traffic().is_some());
-        planned && !self.core.is_draining()
+        let has_plan = view.is_some_and(|view| view.traffic().is_some());
+        has_plan && !self.core.is_draining()
     }
 
-    /// Where callers in `domain` should connect; empty when this entry does not know.
+    /// Addresses that callers in `domain` should connect to; empty if this entry has no view
+    /// that it may serve.
     ///
-    /// Entries in the caller's own failure domain, if there are enough of them, else
-    /// all: what crosses domains is slower, and paid for.
+    /// Lists the entries in the caller's failure domain if there are enough of them, else all
+    /// entries: traffic between domains is slower and costs money.
     #[must_use]
     pub fn addresses(&self, domain: Option<&id::Domain>) -> Vec<address::Socket> {
         let Ok(view) = self.core.serving_view() else {
             return Vec::new();
         };
-        let near = view
+        let same_domain = view
             .active_entries()
-            .filter(|member| Some(&member.domain) == domain);
-        let mut addresses: Vec<address::Socket> = near.map(|member| member.address).collect();
-        if addresses.len() < ENOUGH {
+            .filter(|entry| Some(&entry.domain) == domain);
+        let mut addresses: Vec<address::Socket> = same_domain.map(|entry| entry.address).collect();
+        if addresses.len() < MIN_DOMAIN_ENTRIES {
             let all = view.active_entries();
-            addresses = all.map(|member| member.address).collect();
+            addresses = all.map(|entry| entry.address).collect();
         }
         if addresses.is_empty() && !self.core.is_draining() {
-            // The fleet has just started; this entry serves, as its lease shows.
+            // The fleet has just started and lists no entry yet. This entry holds a lease, so it
+            // can serve.
             addresses.push(self.core.advertised());
         }
         addresses.shuffle(&mut rand::rng());
         addresses
     }
 
-    /// Time for which callers may keep an answer.
+    /// Time for which callers may keep an address list, in whole seconds, at least one.
     ///
-    /// Some keep it three times as long, and a stopping entry must serve on until
-    /// they are gone.
+    /// Some callers keep it three times as long, and a stopping entry must serve until they
+    /// have left. The time is therefore below a third of the entry's stop timeout.
     #[must_use]
     pub fn lifetime(&self) -> duration::Span {
-        const KEPT_TIMES: u64 = 3;
+        const MAX_LIFETIMES_KEPT: u64 = 3;
         let second = duration::Span::from_secs(1);
         let view = self.core.view.latest();
-        let wanted = view.map(|view| view.defaults().address_lifetime);
-        let stop = self.core.stop_within();
-        let bound = duration::Span(stop.0.saturating_sub(second.0) / KEPT_TIMES);
-        let lifetime = wanted.unwrap_or(bound).min(bound);
+        let configured = view.map(|view| view.defaults().address_lifetime);
+        let stop_timeout = self.core.stop_within();
+        let bound = duration::Span(stop_timeout.0.saturating_sub(second.0) / MAX_LIFETIMES_KEPT);
+        let lifetime = configured.unwrap_or(bound).min(bound);
         duration::Span((lifetime.0 / second.0).max(1) * second.0)
     }
 }
--- a/crates/cranberrygap-entry/src/lib.rs
+++ b/crates/cranberrygap-entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry process: callers, keys, limits, routing and streams.
+//! The entry process: accepts callers' requests, checks keys and limits, and routes to endpoints.
 //!
-//! [`process::Process`] is the whole entry; the daemon and the embedded form
-//! both start one. Decisions live in `cranberrygap-policy` and
-//! `cranberrygap-routing`; this crate carries them out.
+//! [`process::Process`] runs one entry, in the daemon or embedded in another program.
+//! `cranberrygap-policy` and `cranberrygap-routing` make the decisions; this crate does the
+//! input and output.
 
 pub mod announce;
 pub mod caller;
--- a/crates/cranberrygap-entry/src/metric.rs
+++ b/crates/cranberrygap-entry/src/metric.rs
@@ -1,29 +1,29 @@
-//! Names of an entry's metrics, with kind, unit and meaning.
+//! Metrics of an entry: name, kind, unit and meaning.
 
 use cranberrygap_trace::metric::Metric;
 
-/// Answers of any kind.
+/// Number of responses to callers.
 pub(crate) const REQUESTS: &str = "requests";
-/// Requests that were refused.
+/// Number of refused requests.
 pub(crate) const REFUSED: &str = "refused";
-/// Model answers that ended.
+/// Number of model requests that ended, attained or missed.
 pub(crate) const ANSWERS: &str = "answers";
-/// Tokens that went out.
+/// Number of tokens sent to callers.
 pub(crate) const TOKENS: &str = "tokens";
-/// Time to the first token.
+/// Time from a request's arrival to its first token.
 pub(crate) const FIRST_TOKEN: &str = "first_token";
-/// Answers to requests of routes.
+/// Number of responses to requests of routes.
 pub(crate) const GATEWAY_REQUESTS: &str = "gateway_requests";
-/// Requests of routes that failed here.
+/// Number of requests of routes that failed at this entry.
 pub(crate) const GATEWAY_FAILURES: &str = "gateway_failures";
-/// Sends to endpoints.
+/// Number of requests sent to endpoints.
 pub(crate) const GATEWAY_SENDS: &str = "gateway_sends";
-/// Time to the first event of a stream.
+/// Time from a request's arrival to the first event of its stream.
 pub(crate) const GATEWAY_FIRST_EVENT: &str = "gateway_first_event";
-/// Time since the view was last known to be the newest.
+/// Time since the view was last confirmed as the newest.
 pub(crate) const VIEW_AGE: &str = "view_age";
 
-/// Metrics of the gateway, which entries without a traffic plan do not send.
+/// Metrics of the gateway. An entry without a traffic plan does not send them.
 pub const GATEWAY: [Metric; 5] = [
     Metric {
         name: VIEW_AGE,
--- a/crates/cranberrygap-entry/src/refusal.rs
+++ b/crates/cranberrygap-entry/src/refusal.rs
@@ -1,77 +1,77 @@
-//! Why a request is not answered, as callers see it.
+//! Refusals: why a request is not answered, with the code, status and text for the caller.
 
 use cranberrygap_model::{address, duration, id};
 use cranberrygap_wire::caller;
 use salvo::http::{HeaderValue, Response, StatusCode, header};
 use smol_str::{SmolStr, format_smolstr};
 
-/// One refusal. The doc sentences are the reasons, the codes are stable.
+/// Reason for which a request is refused or failed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Refusal {
-    /// No key, or one that does not work.
+    /// The key is missing or invalid.
     KeyUnknown,
-    /// The key appears in the body, path or a header that would be passed on.
+    /// The key appears in a body, path or header that would be forwarded to an endpoint.
     KeyExposed,
-    /// The body is not what the path expects.
+    /// The body is malformed; the text is the cause.
     BodyMalformed(SmolStr),
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// No such model.
+    /// The model is not in the catalogue; the text is its name.
     ModelUnknown(SmolStr),
-    /// No such service or path.
+    /// The service or path does not exist.
     PathUnknown,
     /// The workspace is above its rate.
     RateExceeded {
-        /// Time after which the same request may pass.
+        /// Time after which the same request may be admitted.
         retry_after: duration::Span,
     },
-    /// Too many requests are in progress here.
+    /// Too many requests are in progress at this entry.
     Busy,
     /// No endpoint can take the request now.
     NoEndpoint {
-        /// Time after which one may.
+        /// Time after which an endpoint may be available.
         retry_after: duration::Span,
     },
-    /// This entry has lost its lease and serves nobody.
+    /// This entry has lost its lease and serves no requests.
     NoLease {
-        /// Other entries that may serve.
+        /// Other entries, which may still hold a lease.
         addresses: Vec<address::Socket>,
     },
-    /// This entry is about to stop.
+    /// This entry is draining before it stops.
     Draining {
-        /// Other entries that serve.
+        /// Other entries that accept requests.
         addresses: Vec<address::Socket>,
     },
-    /// A non-idempotent call without an idempotency key.
+    /// A call that is not idempotent has no valid idempotency key.
     IdempotencyKeyMissing,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was used for another call.
     IdempotencyConflict,
-    /// The idempotency key was used longer ago than outcomes are kept.
+    /// The idempotency key is older than the time for which outcomes are stored.
     BookingExpired,
-    /// The same booking runs now.
+    /// The same booking is in progress.
     BookingRunning,
     /// The claim could not be committed; the booking did not run.
     NoQuorum,
-    /// The booking may have run and will not be run again.
+    /// The booking may have run and is not run again.
     BookingUnknown,
-    /// It was proven that the booking did not run.
+    /// It is proven that the booking did not run.
     BookingNotRun,
-    /// Endpoints failed before the answer was whole.
+    /// The endpoints failed before the response was complete.
     EndpointFailed,
-    /// The request crashed endpoints and is refused for a time.
+    /// The request crashed endpoints and is quarantined.
     Quarantined {
-        /// Time until the refusal ends.
+        /// Time until the quarantine ends.
         retry_after: duration::Span,
     },
-    /// The deadline passed.
+    /// The deadline passed before the response was complete.
     DeadlineExceeded,
 }
 
-/// Shortest and usual wait that callers are told, in seconds.
-const SHORT_WAIT: u64 = 1;
+/// Shortest retry delay that callers are given, and the default one, in seconds.
+const MIN_RETRY_SECONDS: u64 = 1;
 
 impl Refusal {
-    /// The stable word for programs.
+    /// Stable code, for use by programs.
     #[must_use]
     pub fn code(&self) -> &'static str {
         match self {
@@ -101,8 +101,8 @@
 
     /// Whether the request may have run.
     ///
-    /// A model request changes nothing that a caller could book twice, but its
-    /// tokens may have been generated, so a failure after dispatch is unknown.
+    /// A model request has no effect that could happen twice, but its tokens may have been
+    /// generated, so a failure after dispatch has an unknown outcome.
     #[must_use]
     pub fn outcome(&self) -> caller::Outcome {
         match self {
@@ -168,13 +168,13 @@
         match self {
             Self::RateExceeded { retry_after }
             | Self::NoEndpoint { retry_after }
-            | Self::Quarantined { retry_after } => Some(whole_seconds(*retry_after)),
+            | Self::Quarantined { retry_after } => Some(retry_seconds(*retry_after)),
             Self::Busy
             | Self::NoLease { .. }
             | Self::Draining { .. }
             | Self::NoQuorum
             | Self::BookingRunning
-            | Self::BookingNotRun => Some(SHORT_WAIT),
+            | Self::BookingNotRun => Some(MIN_RETRY_SECONDS),
             _ => None,
         }
     }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The refusal as a message.
+    /// Converts the refusal into the message for the caller.
     #[must_use]
     pub fn to_wire(&self, request: Option<&id::Request>) -> caller::Refusal {
         caller::Refusal {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Writes the refusal as the whole answer.
+    /// Writes the refusal as the response, with its status and headers.
     pub(crate) fn write(&self, request: Option<&id::Request>, response: &mut Response) {
         let body = serde_json::json!({ "error": self.to_wire(request) });
         response.status_code(self.status());
@@ -215,7 +215,7 @@
     }
 }
 
-fn whole_seconds(span: duration::Span) -> u64 {
+fn retry_seconds(span: duration::Span) -> u64 {
     let second = duration::Span::from_secs(1).0;
-    span.0.div_ceil(second).max(SHORT_WAIT)
+    span.0.div_ceil(second).max(MIN_RETRY_SECONDS)
 }
--- a/crates/cranberrygap-entry/src/relay.rs
+++ b/crates/cranberrygap-entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an engine's stream on to the caller, event by event.
+//! Relays an engine's stream to the caller, event by event.
 
 use std::pin::Pin;
 
@@ -18,95 +18,102 @@
 
 type Upstream = Pin<Box<dyn Stream<Item = reqwest::Result<Bytes>> + Send>>;
 
-const END: &[u8] = b"data: [DONE]\n\n";
+/// Event that marks the end of a stream.
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// A stream on its way from engines to a caller.
+/// Relay of one stream from engines to a caller.
 ///
-/// Dropping it, which happens when the caller leaves, closes the connection to
-/// the engine, which then stops generating.
+/// It is dropped when the caller disconnects. That closes the connection to the engine,
+/// which then stops generating.
 pub(crate) struct Relay {
     delivery: engine::Delivery,
     upstream: Upstream,
-    sent: Option<engine::Attempt>,
+    attempt: Option<engine::Attempt>,
     splitter: sse::Splitter,
     progress: policy::Stream,
     permit: admission::Permit,
-    attained: attainment::Progress,
-    /// Nothing came yet over the connection of this attempt.
-    opening: bool,
+    attainment: attainment::Progress,
+    /// Whether no byte has arrived from the engine in this attempt.
+    awaiting_first_byte: bool,
     finished: bool,
 }
 
 impl Relay {
-    /// A relay of `answer`, which goes on over other engines when it breaks.
+    /// Creates a relay of `response`, which resumes on another engine if the connection breaks.
     pub(crate) fn new(
         delivery: engine::Delivery,
-        answer: engine::Response,
+        response: engine::Response,
         permit: admission::Permit,
-        attained: attainment::Progress,
+        attainment: attainment::Progress,
     ) -> Self {
-        let limit = delivery.request().body.max_tokens.0;
+        let max_tokens = delivery.request().body.max_tokens.0;
         Self {
             delivery,
-            progress: policy::Stream::new(answer.attempt_id, limit),
-            upstream: Box::pin(answer.http.bytes_stream()),
-            sent: Some(answer.attempt),
+            progress: policy::Stream::new(response.attempt_id, max_tokens),
+            upstream: Box::pin(response.http.bytes_stream()),
+            attempt: Some(response.attempt),
             splitter: sse::Splitter::default(),
             permit,
-            attained,
-            opening: true,
+            attainment,
+            awaiting_first_byte: true,
             finished: false,
         }
     }
 
-    /// The relay as the body of a response.
+    /// Converts the relay into the body of a response.
     pub(crate) fn into_stream(self) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send {
         stream::unfold(self, |mut relay| async move {
-            let bytes = relay.next().await?;
+            let bytes = relay.next_events().await?;
             Some((Ok(bytes), relay))
         })
     }
 
-    /// The next whole events, `None` after the end.
-    async fn next(&mut self) -> Option<Bytes> {
+    /// Returns the next complete events, or `None` after the end.
+    async fn next_events(&mut self) -> Option<Bytes> {
         while !self.finished {
-            let limit = self.limit();
-            let evidence = match tokio::time::timeout(limit.to_std(), self.upstream.next()).await {
+            let timeout = self.read_timeout();
+            let evidence = match tokio::time::timeout(timeout.to_std(), self.upstream.next()).await
+            {
                 Err(_elapsed) => Evidence::Silence,
                 Ok(None) => Evidence::CutAnswer,
                 Ok(Some(Err(_cause))) => Evidence::ConnectionBroke,
-                Ok(Some(Ok(bytes))) => match self.take(&bytes) {
+                Ok(Some(Ok(bytes))) => match self.accept_bytes(&bytes) {
                     Ok(events) if events.is_empty() => continue,
                     Ok(events) => return Some(events),
                     Err(evidence) => evidence,
                 },
             };
-            if let Some(last) = self.go_on(evidence).await {
-                return Some(last);
+            if let Some(last_event) = self.resume(evidence).await {
+                return Some(last_event);
             }
         }
         None
     }
 
-    fn limit(&self) -> duration::Span {
-        let limit = if self.opening {
+    /// Longest wait for the next bytes from the engine.
+    fn read_timeout(&self) -> duration::Span {
+        let timeout = if self.awaiting_first_byte {
             engine::FIRST_BYTE_TIMEOUT
         } else {
             engine::TOKEN_TIMEOUT
         };
-        limit.min(self.delivery.remaining())
+        timeout.min(self.delivery.remaining())
     }
 
-    /// The events in `bytes` that the caller gets.
-    fn take(&mut self, bytes: &[u8]) -> Result<Bytes, Evidence> {
-        self.opening = false;
+    /// Accepts bytes from the engine and returns the events to send to the caller.
+    ///
+    /// # Errors
+    ///
+    /// The evidence of the failure if the stream is malformed.
+    fn accept_bytes(&mut self, bytes: &[u8]) -> Result<Bytes, Evidence> {
+        self.awaiting_first_byte = false;
         if self.splitter.push(bytes).is_err() {
             return Err(Evidence::CutAnswer);
         }
         let mut first = Bytes::new();
         let mut joined = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
-            match self.judge(&event) {
+            match self.accept_event(&event) {
                 policy::Decision::Deliver if first.is_empty() => first = event,
                 policy::Decision::Deliver => {
                     if joined.is_empty() {
@@ -115,7 +122,8 @@
                     joined.extend_from_slice(&event);
                 }
                 policy::Decision::Skip => {}
-                // What came before it is the caller's; the next read finds the rest.
+                // The events before the malformed one go to the caller. The empty stream makes
+                // the next read fail and the relay resume.
                 policy::Decision::Broken if !first.is_empty() => {
                     self.upstream = Box::pin(stream::empty());
                     break;
@@ -130,22 +138,23 @@
         }
     }
 
-    fn judge(&mut self, event: &[u8]) -> policy::Decision {
+    /// Decides whether the caller gets an event, and records its tokens.
+    fn accept_event(&mut self, event: &[u8]) -> policy::Decision {
         let Some(data) = sse::data(event) else {
             return policy::Decision::Deliver;
         };
-        let attempt = self.progress.attempt().clone();
+        let attempt_id = self.progress.attempt().clone();
         if sse::is_done(data) {
-            let decision = self.progress.accept(&attempt, policy::Event::End);
+            let decision = self.progress.accept(&attempt_id, policy::Event::End);
             if decision == policy::Decision::Deliver {
-                self.end();
+                self.complete();
             }
             return decision;
         }
-        let chunk = chunk::Chunk::read(data);
+        let chunk = chunk::Chunk::parse(data);
         let mut decision = policy::Decision::Skip;
         for event in chunk.events() {
-            let next = self.progress.accept(&attempt, event);
+            let next = self.progress.accept(&attempt_id, event);
             if next == policy::Decision::Broken {
                 return next;
             }
@@ -153,53 +162,57 @@
                 decision = next;
             }
             if event == policy::Event::Token {
-                self.attained.token();
+                self.attainment.record_token();
             }
         }
-        let estimate = self.delivery.request().body.prompt.0 + self.progress.delivered();
+        let estimate = self.delivery.request().body.prompt_tokens.0 + self.progress.delivered();
         self.permit
             .set_used(token::Count(chunk.total_tokens().unwrap_or(estimate)));
         decision
     }
 
-    fn end(&mut self) {
-        self.attained.finish();
-        if let Some(sent) = self.sent.as_mut() {
-            sent.record_complete();
+    /// Records that the stream is complete.
+    fn complete(&mut self) {
+        self.attainment.finish();
+        if let Some(attempt) = self.attempt.as_mut() {
+            attempt.record_complete();
         }
         self.finished = true;
     }
 
-    /// Resumes on another engine or connection behind the last token that the
-    /// caller has; gives the last event if that cannot be.
-    async fn go_on(&mut self, evidence: Evidence) -> Option<Bytes> {
+    /// Resumes the stream after the last token that the caller has, on another engine or
+    /// connection.
+    ///
+    /// Returns the last event of the stream if that is impossible or not needed.
+    async fn resume(&mut self, evidence: Evidence) -> Option<Bytes> {
         if self.progress.is_finished() {
-            // All tokens and the reason of the end are there, only the mark is not.
-            self.end();
-            return Some(Bytes::from_static(END));
+            // All tokens and the finish reason have arrived; only the end marker is missing.
+            self.complete();
+            return Some(Bytes::from_static(DONE_EVENT));
         }
-        let Some(sent) = self.sent.take() else {
-            return Some(self.broken(&Refusal::EndpointFailed));
+        let Some(attempt) = self.attempt.take() else {
+            return Some(self.error_event(&Refusal::EndpointFailed));
         };
-        if let Err(refusal) = self.delivery.handle_failure(evidence, sent).await {
-            return Some(self.broken(&refusal));
+        if let Err(refusal) = self.delivery.handle_failure(evidence, attempt).await {
+            return Some(self.error_event(&refusal));
         }
         match self.delivery.send(self.progress.delivered()).await {
-            Err(refusal) => Some(self.broken(&refusal)),
-            Ok(answer) => {
-                self.progress.resume(answer.attempt_id);
-                self.upstream = Box::pin(answer.http.bytes_stream());
-                self.sent = Some(answer.attempt);
+            Err(refusal) => Some(self.error_event(&refusal)),
+            Ok(response) => {
+                self.progress.resume(response.attempt_id);
+                self.upstream = Box::pin(response.http.bytes_stream());
+                self.attempt = Some(response.attempt);
                 self.splitter = sse::Splitter::default();
-                self.opening = true;
+                self.awaiting_first_byte = true;
                 None
             }
         }
     }
 
-    /// An error event. A clean end here would let the caller take a part for the
-    /// whole answer.
-    fn broken(&mut self, refusal: &Refusal) -> Bytes {
+    /// Ends the stream with an error event.
+    ///
+    /// Without the event, the caller would mistake a truncated stream for a complete one.
+    fn error_event(&mut self, refusal: &Refusal) -> Bytes {
         self.finished = true;
         let refusal = refusal.to_wire(Some(&self.delivery.request().id));
         let event = serde_json::json!({ "error": refusal });
--- a/crates/cranberrygap-entry/src/sse.rs
+++ b/crates/cranberrygap-entry/src/sse.rs
@@ -1,68 +1,69 @@
-//! Server-sent events, cut at their borders without copying.
+//! Splits a stream of bytes into server-sent events. An event shares the buffer's memory
+//! instead of copying it.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held while its end has not arrived, in bytes. Bounds
-/// what an endpoint that never ends an event can make us store.
-const LONGEST_EVENT: usize = 1 << 20;
+/// Largest number of buffered bytes. It limits the memory that an endpoint can occupy with an
+/// event that never ends.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What ends an event.
-const BORDER: &[u8] = b"\n\n";
-const DATA: &[u8] = b"data:";
-const DONE: &[u8] = b"[DONE]";
+/// Blank line that ends an event.
+const EVENT_END: &[u8] = b"\n\n";
+const DATA_PREFIX: &[u8] = b"data:";
+const DONE_MARKER: &[u8] = b"[DONE]";
 
-/// An event grew beyond the bound.
+/// An event exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {LONGEST_EVENT} bytes")]
+#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// Collects bytes and gives whole events.
+/// Collects bytes and splits them into complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
 }
 
 impl Splitter {
-    /// Adds bytes as they arrived.
+    /// Appends the bytes that arrived.
     ///
     /// # Errors
     ///
-    /// When an event has no end within the bound.
+    /// [`TooLong`] if the buffered bytes would exceed the limit; the bytes are not added.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
-        if self.buffer.len() + bytes.len() > LONGEST_EVENT {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// Whether nothing of a further event has arrived.
+    /// Whether no part of a further event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The next whole event with its border.
+    /// Removes and returns the next complete event, with the blank line that ends it.
     pub fn next_event(&mut self) -> Option<Bytes> {
-        let end = find(&self.buffer, BORDER)? + BORDER.len();
+        let end = find_subslice(&self.buffer, EVENT_END)? + EVENT_END.len();
         Some(self.buffer.split_to(end).freeze())
     }
 }
 
-/// The data of an event; `None` for comments and other fields.
+/// Returns the data of an event; `None` for comments and other fields.
 #[must_use]
 pub fn data(event: &[u8]) -> Option<&[u8]> {
-    let rest = event.strip_prefix(DATA)?;
+    let rest = event.strip_prefix(DATA_PREFIX)?;
     Some(rest.trim_ascii())
 }
 
 /// Whether an event's data marks the end of a stream.
 #[must_use]
 pub fn is_done(data: &[u8]) -> bool {
-    data == DONE
+    data == DONE_MARKER
 }
 
-fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
+fn find_subslice(haystack: &[u8], needle: &[u8]) -> Option<usize> {
     haystack
         .windows(needle.len())
         .position(|window| window == needle)
--- a/crates/cranberrygap-entry/src/trace.rs
+++ b/crates/cranberrygap-entry/src/trace.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests, kept for a while so that operators can ask why.
+//! Trace of the decisions about requests, with which operators can explain an outcome.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use crate::metric;
 use crate::refusal::Refusal;
 
-/// Decisions that an entry keeps, about 10 MB. An entry notes about three for a
-/// request, so 100 requests a second are explained for a minute.
-const KEPT: usize = 20_000;
+/// Decisions that an entry keeps, about 10 MB. A request takes about three decisions, so at
+/// 100 requests a second the trace covers the last minute.
+const CAPACITY: usize = 20_000;
 
-/// The decisions of one entry.
+/// The last decisions of one entry.
 #[derive(Debug)]
 pub(crate) struct Trace {
     ring: ring::Ring,
@@ -24,15 +24,15 @@
 }
 
 impl Trace {
-    /// No decisions yet; refusals are counted too.
+    /// Creates an empty trace that counts refusals in `metrics`.
     pub(crate) fn new(metrics: Arc<StatsdClient>) -> Self {
         Self {
-            ring: ring::Ring::new(KEPT),
+            ring: ring::Ring::new(CAPACITY),
             metrics,
         }
     }
 
-    /// Notes a decision with its facts.
+    /// Records a decision with its facts.
     pub(crate) fn note(
         &self,
         about: &note::About,
@@ -47,14 +47,14 @@
         self.ring.note(note.finish());
     }
 
-    /// Notes why a request was refused.
-    pub(crate) fn refused(&self, about: &note::About, refusal: &Refusal) {
+    /// Records and counts a refusal.
+    pub(crate) fn record_refusal(&self, about: &note::About, refusal: &Refusal) {
         self.metrics
             .count_with_tags(metric::REFUSED, 1)
             .with_tag_value(refusal.code())
             .send();
-        // The exposed key may stand in the request id. It would then be kept
-        // here and shown to operators; without the id it is not.
+        // The request id may contain the exposed key, so it is left out: the trace would
+        // store the key and show it to operators.
         if *refusal == Refusal::KeyExposed {
             return self.note_refusal(&note::About::default(), refusal);
         }
@@ -62,26 +62,26 @@
     }
 
     fn note_refusal(&self, about: &note::About, refusal: &Refusal) {
-        let told = refusal.to_wire(None);
-        let wait = told.retry_after.unwrap_or_default();
+        let message = refusal.to_wire(None);
+        let retry_after = message.retry_after.unwrap_or_default();
         self.note(
             about,
             "refused",
-            format_args!("refused: {}", told.message),
+            format_args!("refused: {}", message.message),
             &[
-                ("code", &told.code),
-                ("outcome", &told.outcome),
-                ("retry_after_seconds", &wait),
+                ("code", &message.code),
+                ("outcome", &message.outcome),
+                ("retry_after_seconds", &retry_after),
             ],
         );
     }
 
-    /// What is known about a thing.
-    pub(crate) fn tell(&self, instance: &id::Instance, ask: &trace::Ask) -> trace::Told {
-        self.ring.tell(instance.clone(), ask)
+    /// Returns the latest decisions about the subject of `request`, oldest first.
+    pub(crate) fn explain(&self, instance: &id::Instance, request: &trace::Ask) -> trace::Told {
+        self.ring.tell(instance.clone(), request)
     }
 
-    /// Number of decisions kept, for a dump.
+    /// Number of decisions in the trace, for a dump.
     pub(crate) fn len(&self) -> usize {
         self.ring.len()
     }
--- a/crates/cranberrygap-entry/src/upstream.rs
+++ b/crates/cranberrygap-entry/src/upstream.rs
@@ -1,24 +1,25 @@
-//! HTTP clients towards endpoints.
+//! HTTP clients for requests to endpoints.
 
 use std::time::Duration;
 
 /// Longest wait for a TCP connection. Endpoints are about a millisecond away.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that an unused connection stays open. Something between the ends may
-/// forget an idle connection without telling either; a short idle life makes a
-/// request rarely meet such a one.
-const IDLE: Duration = Duration::from_secs(5);
+/// Time for which an idle connection stays in the pool. A device between the two ends may drop
+/// an idle connection without an error; with a short timeout, requests rarely get such a
+/// connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time without acknowledgement after which the kernel ends a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Time without acknowledgement of sent data after which the kernel closes a connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without traffic after which the kernel asks whether the other end is
-/// still there, so that a silent connection ends also while nothing is sent.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// Time without traffic after which the kernel sends a keepalive probe, and the time between
+/// two probes. The probes detect a dead connection while nothing is sent.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Probes without an answer after which the kernel closes a connection.
 const KEEPALIVE_RETRIES: u32 = 3;
 
-/// The clients of one entry.
+/// HTTP clients of one entry.
 #[derive(Debug, Clone)]
 pub(crate) struct Clients {
     pooled: reqwest::Client,
@@ -26,20 +27,23 @@
 }
 
 impl Clients {
-    /// Clients with the bounds above.
+    /// Builds the clients with the timeouts of this module.
     pub(crate) fn new() -> reqwest::Result<Self> {
-        let pooled = builder().pool_idle_timeout(IDLE).build()?;
+        let pooled = builder().pool_idle_timeout(IDLE_TIMEOUT).build()?;
         let unpooled = builder().pool_max_idle_per_host(0).build()?;
         Ok(Self { pooled, unpooled })
     }
 
-    /// For requests that may be sent again: keeps connections.
+    /// Client that reuses connections, for requests that may be sent again.
     pub(crate) fn pooled(&self) -> &reqwest::Client {
         &self.pooled
     }
 
-    /// For bookings: each goes over a connection of its own, so that a silently
-    /// dead one cannot turn a booking into one of unknown outcome.
+    /// Client that opens a connection for each request, for bookings, retries and
+    /// liveness checks.
+    ///
+    /// A reused connection may be dead without an error, and the outcome of a booking sent
+    /// over it would be unknown.
     pub(crate) fn unpooled(&self) -> &reqwest::Client {
         &self.unpooled
     }
@@ -49,11 +53,11 @@
     reqwest::Client::builder()
         .no_proxy()
         .redirect(reqwest::redirect::Policy::none())
-        .connect_timeout(CONNECT)
+        .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .tcp_user_timeout(UNACKNOWLEDGED)
-        .tcp_keepalive(KEEPALIVE)
-        .tcp_keepalive_interval(KEEPALIVE)
+        .tcp_user_timeout(UNACKNOWLEDGED_TIMEOUT)
+        .tcp_keepalive(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
         .tcp_keepalive_retries(KEEPALIVE_RETRIES)
         .http1_only()
 }
