--- /dev/null
+++ b/crates/cranberrygap-entry/src/caller/services/completion.rs
@@ -0,0 +1,101 @@
+//! The result of a call of a plain service.
+
+use bytes::Bytes;
+use cranberrygap_policy::claims;
+use cranberrygap_policy::outcome::Evidence;
+use cranberrygap_wire::claim;
+use salvo::http::{HeaderValue, Response, StatusCode, header};
+
+use crate::booking;
+
+/// Result of sending a call to an endpoint.
+#[derive(Debug)]
+pub(super) enum Completion {
+    Answered {
+        status: StatusCode,
+        content_type: HeaderValue,
+        body: Bytes,
+    },
+    /// No whole response arrived; the evidence shows what may have happened.
+    Failed(Evidence),
+}
+
+/// Reads the whole response of an endpoint.
+pub(super) async fn read_response(response: reqwest::Response) -> Completion {
+    let status = response.status();
+    let default = HeaderValue::from_static("application/octet-stream");
+    let content_type = response
+        .headers()
+        .get(header::CONTENT_TYPE)
+        .cloned()
+        .unwrap_or(default);
+    // A body that is shorter than its content length is an error here, so a truncated
+    // body does not pass for the whole response.
+    match response.bytes().await {
+        Ok(body) if reports_not_run(status, &body) => Completion::Failed(Evidence::EndpointRefused),
+        Ok(body) => Completion::Answered {
+            status,
+            content_type,
+            body,
+        },
+        Err(_cause) => Completion::Failed(Evidence::CutAnswer),
+    }
+}
+
+/// Whether the service itself reports that it did not run the call.
+///
+/// The status alone proves nothing, as a proxy in between may have set it.
+fn reports_not_run(status: StatusCode, body: &[u8]) -> bool {
+    let refusal_statuses = [
+        StatusCode::SERVICE_UNAVAILABLE,
+        StatusCode::TOO_MANY_REQUESTS,
+    ];
+    if !refusal_statuses.contains(&status) {
+        return false;
+    }
+    let parsed = serde_json::from_slice::<serde_json::Value>(body);
+    parsed.is_ok_and(|parsed| parsed["outcome"] == "not_run")
+}
+
+/// Converts the result into the input of a booking's state machine.
+pub(super) fn to_input(completion: &Completion) -> claims::Input {
+    match completion {
+        Completion::Answered {
+            status,
+            content_type,
+            body,
+        } => {
+            let content_type = content_type.to_str().unwrap_or_default();
+            claims::Input::Answered(booking::to_stored(status.as_u16(), content_type, body))
+        }
+        Completion::Failed(evidence) => claims::Input::Ended(*evidence),
+    }
+}
+
+/// Converts the stored response of an earlier booking.
+pub(super) fn from_stored(stored: &claim::Response) -> Completion {
+    let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
+    let content_type = HeaderValue::from_str(&stored.content_type);
+    let content_type = content_type.unwrap_or(HeaderValue::from_static("application/octet-stream"));
+    Completion::Answered {
+        status,
+        content_type,
+        body: booking::decode_body(stored),
+    }
+}
+
+/// Writes an endpoint's response to the caller; a failure writes nothing.
+pub(super) fn write(completion: Completion, response: &mut Response) {
+    if let Completion::Answered {
+        status,
+        content_type,
+        body,
+    } = completion
+    {
+        response.status_code(status);
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
+        response.body(body);
+    }
+}
