--- a/crates/cranberrygap-entry/src/admission/permit.rs
+++ b/crates/cranberrygap-entry/src/admission/permit.rs
@@ -71,10 +71,8 @@
     match rejection {
         Rejection::OverRate { retry_after } => Refusal::RateExceeded { retry_after },
         Rejection::ExceedsBurst { burst } => Refusal::BodyMalformed(
-            format!(
-                "the request may cost {tokens} tokens, more than the workspace's burst of {burst}"
-            )
-            .into(),
+            format!("it may cost {tokens} tokens, more than the workspace's burst of {burst}")
+                .into(),
         ),
     }
 }
