--- a/crates/cranberrygap-bench/src/measure/capacity/deltas.rs
+++ b/crates/cranberrygap-bench/src/measure/capacity/deltas.rs
@@ -27,7 +27,7 @@
         state,
     };
     holder
-        .take(snapshot)
+        .apply_frame(snapshot)
         .expect("a snapshot is always taken by a new holder");
     let started = Instant::now();
     for step in 0..DELTAS {
@@ -35,7 +35,7 @@
         let changes = vec![wire_view::Change::EndpointChanged { endpoint }];
         let revision = number::Revision(2 + step);
         let frame = wire_view::Frame::Delta { revision, changes };
-        holder.take(frame).expect("revisions rise");
+        holder.apply_frame(frame).expect("revisions rise");
     }
     started.elapsed().as_secs_f64() * 1e6 / DELTAS as f64
 }
--- a/crates/cranberrygap-bench/src/measure/capacity/memory.rs
+++ b/crates/cranberrygap-bench/src/measure/capacity/memory.rs
@@ -36,7 +36,7 @@
             state,
         };
         holder
-            .take(frame)
+            .apply_frame(frame)
             .expect("a snapshot is always taken by a new holder");
         holder
     });
--- a/crates/cranberrygap-bench/src/soak/view/entry.rs
+++ b/crates/cranberrygap-bench/src/soak/view/entry.rs
@@ -103,7 +103,7 @@
     fn binding(&self) -> number::Revision {
         match self.flaw {
             Flaw::EachRevisionBinds => self.holder.revision(),
-            _ => self.holder.binding(),
+            _ => self.holder.binding_revision(),
         }
     }
 
@@ -161,7 +161,7 @@
         let lost = self
             .follow
             .as_ref()
-            .is_some_and(|follow| follow.source.loss(clock, &self.holder).is_some());
+            .is_some_and(|follow| follow.source.failure(clock, &self.holder).is_some());
         if lost {
             self.unfollow(now);
         }
@@ -188,7 +188,7 @@
 
     fn unfollow(&mut self, now: u64) {
         self.follow = None;
-        self.next_follow = now + source::PAUSE.0;
+        self.next_follow = now + source::RECONNECT_DELAY.0;
     }
 
     /// Takes a packet.
@@ -215,7 +215,7 @@
         match answer {
             Ok(confirmed) => {
                 let sent = duration::Instant(self.offset + call.sent);
-                self.holder.confirm(sent, &confirmed);
+                self.holder.apply_confirmation(sent, &confirmed);
                 self.confirmed = call.binding;
                 self.reached = true;
                 self.answered = now;
@@ -247,8 +247,8 @@
         else {
             return;
         };
-        follow.source.hear(clock);
-        if self.holder.take(frame).is_err() {
+        follow.source.record_frame(clock);
+        if self.holder.apply_frame(frame).is_err() {
             self.unfollow(now);
         }
         let view = self.holder.latest();
--- a/crates/cranberrygap-entry/src/announce.rs
+++ b/crates/cranberrygap-entry/src/announce.rs
@@ -8,10 +8,10 @@
 
 /// Most endpoints that are kept; an endpoint beyond is not taken. Bounds what
 /// strangers on the listener can make an entry store.
-const MOST_ENDPOINTS: usize = 4096;
+const MAX_ENDPOINTS: usize = 4096;
 
 /// Processes of one endpoint that are kept; the control process remembers as many.
-const MOST_PROCESSES: usize = 8;
+const MAX_PROCESSES: usize = 8;
 
 /// Collects heartbeats and new content for the leader.
 #[derive(Debug, Default)]
@@ -32,9 +32,9 @@
 struct Process {
     latest: endpoint::Announcement,
     /// Whether it was heard since the last batch.
-    is_heard: bool,
+    has_new_heartbeat: bool,
     /// Whether its content is new to the leader.
-    is_fresh: bool,
+    has_new_content: bool,
 }
 
 /// What the next confirmation carries.
@@ -53,7 +53,7 @@
     #[error("a newer announcement of this endpoint has arrived")]
     Older,
     /// The table is full.
-    #[error("this entry knows {MOST_ENDPOINTS} endpoints and takes no more")]
+    #[error("this entry knows {MAX_ENDPOINTS} endpoints and takes no more")]
     Full,
 }
 
@@ -63,28 +63,32 @@
     /// # Errors
     ///
     /// When it is older than one that arrived before, or the table is full.
-    pub fn take(&self, announcement: endpoint::Announcement) -> Result<(), Error> {
+    pub fn accept(&self, announcement: endpoint::Announcement) -> Result<(), Error> {
         let mut inner = self.inner.lock();
         let is_known = inner.processes.contains_key(&announcement.endpoint);
-        if !is_known && inner.processes.len() >= MOST_ENDPOINTS {
+        if !is_known && inner.processes.len() >= MAX_ENDPOINTS {
             return Err(Error::Full);
         }
         if let Some(process) = inner.process(&announcement.endpoint, announcement.boot) {
-            return process.take(announcement);
+            return process.update(announcement);
         }
         let processes = inner.processes.entry(announcement.endpoint.clone());
         let processes = processes.or_default();
         processes.push(Process::new(announcement));
-        if processes.len() > MOST_PROCESSES {
+        if processes.len() > MAX_PROCESSES {
             processes.remove(0);
         }
         Ok(())
     }
 
     /// Whether there is content that the leader has not heard yet.
-    pub fn has_fresh(&self) -> bool {
+    pub fn has_new_content(&self) -> bool {
         let inner = self.inner.lock();
-        inner.processes.values().flatten().any(|one| one.is_fresh)
+        inner
+            .processes
+            .values()
+            .flatten()
+            .any(|one| one.has_new_content)
     }
 
     /// Takes out what the leader has not heard yet.
@@ -92,10 +96,10 @@
         let mut inner = self.inner.lock();
         let mut batch = Batch::default();
         for process in inner.processes.values_mut().flatten() {
-            if std::mem::take(&mut process.is_heard) {
+            if std::mem::take(&mut process.has_new_heartbeat) {
                 batch.seen.push(process.seen());
             }
-            if std::mem::take(&mut process.is_fresh) {
+            if std::mem::take(&mut process.has_new_content) {
                 batch.announcements.push(process.latest.clone());
             }
         }
@@ -107,12 +111,12 @@
         let mut inner = self.inner.lock();
         for seen in batch.seen {
             if let Some(process) = inner.process(&seen.endpoint, seen.boot) {
-                process.is_heard = true;
+                process.has_new_heartbeat = true;
             }
         }
         for announcement in batch.announcements {
             if let Some(process) = inner.process(&announcement.endpoint, announcement.boot) {
-                process.is_fresh = true;
+                process.has_new_content = true;
             }
         }
     }
@@ -129,18 +133,18 @@
     const fn new(announcement: endpoint::Announcement) -> Self {
         Self {
             latest: announcement,
-            is_heard: true,
-            is_fresh: true,
+            has_new_heartbeat: true,
+            has_new_content: true,
         }
     }
 
-    fn take(&mut self, announcement: endpoint::Announcement) -> Result<(), Error> {
+    fn update(&mut self, announcement: endpoint::Announcement) -> Result<(), Error> {
         // A delayed heartbeat would undo a leave that came after it.
         if self.latest.sequence >= announcement.sequence {
             return Err(Error::Older);
         }
-        self.is_heard = true;
-        self.is_fresh |= !same_content(&self.latest, &announcement);
+        self.has_new_heartbeat = true;
+        self.has_new_content |= !has_same_content(&self.latest, &announcement);
         self.latest = announcement;
         Ok(())
     }
@@ -154,7 +158,7 @@
     }
 }
 
-fn same_content(left: &endpoint::Announcement, right: &endpoint::Announcement) -> bool {
+fn has_same_content(left: &endpoint::Announcement, right: &endpoint::Announcement) -> bool {
     let mut left = left.clone();
     left.sequence = right.sequence;
     left == *right
--- a/crates/cranberrygap-entry/src/attainment.rs
+++ b/crates/cranberrygap-entry/src/attainment.rs
@@ -28,7 +28,7 @@
         model: &id::Model,
         defaults: &cranberrygap_wire::configuration::Defaults,
     ) -> Self {
-        core.demand.arrived(model);
+        core.demand.record_request(model);
         Self {
             arrived: core.now(),
             core: Arc::clone(core),
@@ -84,7 +84,9 @@
 impl Drop for Progress {
     fn drop(&mut self) {
         let attained = self.is_attained(self.core.now());
-        self.core.demand.ended(&self.model, self.tokens, attained);
+        self.core
+            .demand
+            .record_end(&self.model, self.tokens, attained);
         self.count(attained);
     }
 }
--- a/crates/cranberrygap-entry/src/caller/addresses.rs
+++ b/crates/cranberrygap-entry/src/caller/addresses.rs
@@ -45,7 +45,7 @@
         if addresses.is_empty() && !self.core.is_draining() {
             // The fleet has just started; this entry serves, as its lease shows.
             addresses.push(caller::Address {
-                address: self.core.advertised(),
+                address: self.core.advertised_address(),
                 domain: self.core.settings.entry.domain.clone(),
             });
         }
--- a/crates/cranberrygap-entry/src/caller/generate.rs
+++ b/crates/cranberrygap-entry/src/caller/generate.rs
@@ -78,7 +78,7 @@
         view: &view::Snapshot,
         workspace: &id::Workspace,
         call: &engine::Request,
-    ) -> Result<Option<queue::Place>, Refusal> {
+    ) -> Result<Option<queue::Slot>, Refusal> {
         let engines = self.core.router.ready_runner_count(&call.body.model);
         if engines == 0 {
             // Whether to wait for a load is the router's to say.
@@ -89,16 +89,16 @@
         let target = configuration::Target::Workspace;
         let exception = view.exception(target, workspace.as_str());
         let weight = exception.and_then(|exception| exception.weight);
-        let wish = queue::Wish {
+        let wish = queue::Request {
             model: call.body.model.clone(),
             workspace: workspace.clone(),
             weight: weight.unwrap_or(defaults.weight),
             cost: call.body.bound(),
-            patience: defaults.queue_deadline,
+            max_wait: defaults.queue_deadline,
             capacity: engines * (AT_ONE_ENGINE / entries).max(LEAST_PLACES),
-            length: defaults.queue_length as usize,
+            max_waiting: defaults.queue_length as usize,
         };
-        let entered = self.core.queues.enter(&wish).await;
+        let entered = self.core.queues.acquire(&wish).await;
         let refused = |retry_after| Refusal::NoEndpoint { retry_after };
         entered.map(Some).map_err(refused)
     }
--- a/crates/cranberrygap-entry/src/caller/services.rs
+++ b/crates/cranberrygap-entry/src/caller/services.rs
@@ -160,7 +160,7 @@
     /// retry budget and the deadline allow.
     async fn look_up(&self, call: &Call) -> Result<ending::Ending, Refusal> {
         let deadline = self.core.now().after(call.deadline);
-        self.core.retries.lock().record_request();
+        self.core.retry_budget.lock().record_request();
         let mut tried = route::Tried::new();
         let mut outcome = Outcome::NotRun;
         for number in 1.. {
@@ -199,7 +199,7 @@
     async fn may_send_again(&self, attempt: retry::Attempt) -> bool {
         let now = self.core.now();
         let decision = {
-            let mut budget = self.core.retries.lock();
+            let mut budget = self.core.retry_budget.lock();
             budget.decide(now, attempt, &mut rand::rng())
         };
         let retry::Decision::Retry(wait) = decision else {
--- a/crates/cranberrygap-entry/src/control/demand.rs
+++ b/crates/cranberrygap-entry/src/control/demand.rs
@@ -32,7 +32,7 @@
         model: &id::Model,
         adapter: &SmolStr,
     ) -> Option<Self> {
-        let adapter = named(model, adapter)?;
+        let adapter = adapter_demand_name(model, adapter)?;
         let mut running = core.demand.running.lock();
         *running.entry(adapter.clone()).or_default() += 1;
         drop(running);
@@ -54,7 +54,7 @@
 }
 
 /// The name under which the demand for an adapter is counted.
-fn named(model: &id::Model, adapter: &SmolStr) -> Option<id::Model> {
+fn adapter_demand_name(model: &id::Model, adapter: &SmolStr) -> Option<id::Model> {
     format_smolstr!("{model}/{adapter}").parse().ok()
 }
 
@@ -69,7 +69,7 @@
 
 impl Demand {
     /// Counts a request that arrived.
-    pub(crate) fn arrived(&self, model: &id::Model) {
+    pub(crate) fn record_request(&self, model: &id::Model) {
         self.update(model, |count| count.requests += 1);
     }
 
@@ -77,12 +77,17 @@
     ///
     /// Its work is the time of an engine that it takes, reading alone and generating in
     /// one place of the batch.
-    pub(crate) fn asked(&self, model: &id::Model, adapter: Option<&SmolStr>, work: duration::Span) {
+    pub(crate) fn record_route_request(
+        &self,
+        model: &id::Model,
+        adapter: Option<&SmolStr>,
+        work: duration::Span,
+    ) {
         self.update(model, |count| {
             count.requests += 1;
             count.work += work.0;
         });
-        if let Some(named) = adapter.and_then(|adapter| named(model, adapter)) {
+        if let Some(named) = adapter.and_then(|adapter| adapter_demand_name(model, adapter)) {
             self.update(&named, |count| count.requests += 1);
         }
     }
@@ -90,9 +95,9 @@
     /// A request that was counted was refused. Its caller comes back and is counted
     /// again, so that it counts for less than one that is served; but without any
     /// count a model that nobody can be served with would get no copy.
-    pub(crate) fn refused(&self, model: &id::Model, work: duration::Span) {
-        const REFUSED_TENTHS: u64 = 4;
-        let over = work.0 * (10 - REFUSED_TENTHS) / 10;
+    pub(crate) fn record_refusal(&self, model: &id::Model, work: duration::Span) {
+        const REFUSED_WORK_TENTHS: u64 = 4;
+        let over = work.0 * (10 - REFUSED_WORK_TENTHS) / 10;
         self.update(model, |count| {
             count.work = count.work.saturating_sub(over);
             count.refused += 1;
@@ -100,7 +105,7 @@
     }
 
     /// Counts a request that ended.
-    pub(crate) fn ended(&self, model: &id::Model, tokens: u64, attained: bool) {
+    pub(crate) fn record_end(&self, model: &id::Model, tokens: u64, attained: bool) {
         self.update(model, |count| {
             count.tokens += tokens;
             count.attained += u64::from(attained);
--- a/crates/cranberrygap-entry/src/control/heartbeat.rs
+++ b/crates/cranberrygap-entry/src/control/heartbeat.rs
@@ -13,26 +13,26 @@
 use crate::view as held;
 
 /// Time between heartbeats. A seventh of the lease, so that several may be lost.
-const PERIOD: Duration = Duration::from_millis(500);
+const INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between heartbeats while the leader does not answer.
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Time between looks for news that should not wait for the next heartbeat.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Longest wait for an answer. A healthy leader answers within some ten milliseconds;
 /// one that does not has failed, and another one must be found before the lease ends.
-const DEADLINE: duration::Span = duration::Span::from_millis(500);
+const ANSWER_TIMEOUT: duration::Span = duration::Span::from_millis(500);
 
 /// The task that sends heartbeats.
 #[derive(Debug)]
 pub(crate) struct Heartbeat {
     core: Arc<core::Core>,
     /// The last binding change that the leader was told is in force here.
-    confirmed: number::Revision,
-    reached: bool,
-    behind: bool,
+    confirmed_revision: number::Revision,
+    is_leader_reachable: bool,
+    is_view_behind: bool,
 }
 
 impl Heartbeat {
@@ -40,98 +40,101 @@
     pub(crate) fn new(core: Arc<core::Core>) -> Self {
         Self {
             core,
-            confirmed: number::Revision::default(),
-            reached: false,
-            behind: false,
+            confirmed_revision: number::Revision::default(),
+            is_leader_reachable: false,
+            is_view_behind: false,
         }
     }
 
     /// Sends heartbeats for ever.
     pub(crate) async fn run(mut self) {
         loop {
-            self.beat().await;
-            self.wait().await;
+            self.send().await;
+            self.wait_for_next().await;
         }
     }
 
     /// Waits for the next period, or less when an operator waits for a revision
     /// to be in force or an endpoint has news.
-    async fn wait(&self) {
+    async fn wait_for_next(&self) {
         let view = self.core.view.latest();
         let gap = leader_calls::min_interval(view.map_or(0, |view| view.entries())).to_std();
-        if !self.reached {
-            tokio::time::sleep(RETRY.max(gap)).await;
+        if !self.is_leader_reachable {
+            tokio::time::sleep(RETRY_INTERVAL.max(gap)).await;
             return;
         }
         let started = tokio::time::Instant::now();
-        while started.elapsed() < PERIOD {
-            tokio::time::sleep(LOOK).await;
-            if started.elapsed() >= gap && self.has_news() {
+        while started.elapsed() < INTERVAL {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            if started.elapsed() >= gap && self.has_urgent_update() {
                 return;
             }
         }
     }
 
     /// Whether somebody waits for what this entry has to say.
-    fn has_news(&self) -> bool {
-        self.core.announcements.has_fresh() || self.core.view.binding() != self.confirmed
+    fn has_urgent_update(&self) -> bool {
+        self.core.announcements.has_new_content()
+            || self.core.view.binding_revision() != self.confirmed_revision
     }
 
     /// Sends one heartbeat and takes the lease that comes back.
-    pub(crate) async fn beat(&mut self) {
+    pub(crate) async fn send(&mut self) {
         let batch = self.core.announcements.drain();
         let demands = self.core.demand.drain();
-        let binding = self.core.view.binding();
-        let message = self.message(&batch, demands);
+        let binding = self.core.view.binding_revision();
+        let message = self.confirmation(&batch, demands);
         let sent = self.core.now();
         let answer: Result<view::Confirmed, cranberrygap_link::error::Error> = self
             .core
             .leader
-            .call(method::VIEW_CONFIRM, &message, DEADLINE)
+            .call(method::VIEW_CONFIRM, &message, ANSWER_TIMEOUT)
             .await;
         match answer {
             Ok(confirmed) => {
-                self.core.view.confirm(sent, &confirmed);
-                self.confirmed = binding;
-                self.note(true, "");
-                self.note_standing();
+                self.core.view.apply_confirmation(sent, &confirmed);
+                self.confirmed_revision = binding;
+                self.log_reachability(true, "");
+                self.log_lag();
             }
             Err(cause) => {
                 self.core.announcements.restore(batch);
                 self.core.demand.restore(message.demands);
-                self.core.view.miss(self.core.now(), absence(&cause));
-                self.note(false, &cause.to_string());
+                self.core
+                    .view
+                    .record_failure(self.core.now(), failure_cause(&cause));
+                self.log_reachability(false, &cause.to_string());
             }
         }
     }
 
-    fn note(&mut self, reached: bool, cause: &str) {
-        if reached && !self.reached {
+    fn log_reachability(&mut self, reached: bool, cause: &str) {
+        if reached && !self.is_leader_reachable {
             info!(
                 "view: the leader answers, lease to {}",
                 self.core.view.lease_end()
             );
         }
-        if !reached && self.reached {
+        if !reached && self.is_leader_reachable {
             warn!("view: the leader does not answer: {cause}");
         }
-        self.reached = reached;
+        self.is_leader_reachable = reached;
     }
 
     /// Says once that the view is behind the leader, and once that it is not any more.
-    fn note_standing(&mut self) {
-        let standing = self.core.view.standing();
-        let behind = standing.behind.is_some();
-        if behind && !self.behind {
+    fn log_lag(&mut self) {
+        let standing = self.core.view.status();
+        let behind = standing.behind_since.is_some();
+        if behind && !self.is_view_behind {
             warn!("view: is behind: {standing}");
         }
-        if !behind && self.behind {
+        if !behind && self.is_view_behind {
             info!("view: caught up: {standing}");
         }
-        self.behind = behind;
+        self.is_view_behind = behind;
     }
 
-    fn message(&self, batch: &announce::Batch, demands: Vec<view::Demand>) -> view::Confirm {
+    fn confirmation(&self, batch: &announce::Batch, demands: Vec<view::Demand>) -> view::Confirm {
         let core = &self.core;
         // An entry that has just started, or was cut off, has no lease yet and
         // refuses everybody. Named in the address answers already then, it would
@@ -146,9 +149,9 @@
             instance: core.instance().clone(),
             boot: core.boot,
             domain: core.settings.entry.domain.clone(),
-            address: core.advertised(),
+            address: core.advertised_address(),
             endpoints: Some(core.settings.listen.endpoints),
-            lending: core.lending.filter(|_| !core.is_draining()),
+            lending: core.lending_address.filter(|_| !core.is_draining()),
             phase,
             revision: core.view.revision(),
             seen: batch.seen.clone(),
@@ -159,9 +162,9 @@
 }
 
 /// What a failed call says of the control instances.
-fn absence(cause: &cranberrygap_link::error::Error) -> held::Absence {
+fn failure_cause(cause: &cranberrygap_link::error::Error) -> held::Outage {
     match cause {
-        cranberrygap_link::error::Error::Refused { .. } => held::Absence::Unelected,
-        _ => held::Absence::Unreachable,
+        cranberrygap_link::error::Error::Refused { .. } => held::Outage::NoLeader,
+        _ => held::Outage::Unreachable,
     }
 }
--- a/crates/cranberrygap-entry/src/control/peers.rs
+++ b/crates/cranberrygap-entry/src/control/peers.rs
@@ -9,34 +9,34 @@
 /// runs, or the settings may change; the view tells who belongs to the group now.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    told: RwLock<Vec<address::Peer>>,
-    seen: RwLock<Vec<address::Peer>>,
+    configured: RwLock<Vec<address::Peer>>,
+    members: RwLock<Vec<address::Peer>>,
 }
 
 impl Peers {
     pub(crate) fn new(told: Vec<address::Peer>) -> Self {
         Self {
-            told: RwLock::new(told),
-            seen: RwLock::default(),
+            configured: RwLock::new(told),
+            members: RwLock::default(),
         }
     }
 
     /// Takes over changed settings.
-    pub(crate) fn set_told(&self, told: Vec<address::Peer>) {
-        *self.told.write() = told;
+    pub(crate) fn set_configured(&self, told: Vec<address::Peer>) {
+        *self.configured.write() = told;
     }
 
     /// Takes over who belongs to the group.
-    pub(crate) fn set_seen(&self, seen: Vec<address::Peer>) {
-        if *self.seen.read() != seen {
-            *self.seen.write() = seen;
+    pub(crate) fn set_members(&self, seen: Vec<address::Peer>) {
+        if *self.members.read() != seen {
+            *self.members.write() = seen;
         }
     }
 
     /// All that may be asked, each once.
     pub(crate) fn list(&self) -> Vec<address::Peer> {
-        let mut all = self.told.read().clone();
-        for peer in self.seen.read().iter() {
+        let mut all = self.configured.read().clone();
+        for peer in self.members.read().iter() {
             if !all.iter().any(|known| known.instance == peer.instance) {
                 all.push(peer.clone());
             }
@@ -46,8 +46,8 @@
 
     /// Where this process reaches a control process: by its own settings, or else
     /// as the control processes reach it.
-    pub(crate) fn reached(&self, peer: &address::Peer) -> address::Socket {
-        let told = self.told.read();
+    pub(crate) fn address_of(&self, peer: &address::Peer) -> address::Socket {
+        let told = self.configured.read();
         let known = told.iter().find(|known| known.instance == peer.instance);
         known.unwrap_or(peer).address
     }
--- a/crates/cranberrygap-entry/src/control/session.rs
+++ b/crates/cranberrygap-entry/src/control/session.rs
@@ -14,11 +14,11 @@
 
 /// Processes asked for the leader before a call gives up. One round over seven
 /// control processes and one more for a leader that changed meanwhile.
-const MOST_HOPS: usize = 8;
+const MAX_HOPS: usize = 8;
 
 /// Time for which a process that did not answer is not asked again on the word of
 /// another one; an election takes about a second.
-const AVOIDED: Duration = Duration::from_millis(1_200);
+const AVOIDANCE_TIME: Duration = Duration::from_millis(1_200);
 
 /// Keeps one connection to the process that was leader last.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// A process that did not answer, and when.
     avoided: Option<(address::Socket, Instant)>,
     /// Where the client is connected.
-    reached: Option<address::Socket>,
+    connected_to: Option<address::Socket>,
 }
 
 impl Session {
@@ -64,12 +64,12 @@
         deadline: duration::Span,
     ) -> Result<R, cranberrygap_link::error::Error> {
         let mut last = unreachable();
-        for _hop in 0..MOST_HOPS {
-            let client = match self.connected().await {
+        for _hop in 0..MAX_HOPS {
+            let client = match self.connect().await {
                 Ok(client) => client,
                 Err(error) => {
                     self.avoid_target();
-                    self.rotate();
+                    self.select_next_peer();
                     last = error;
                     continue;
                 }
@@ -77,7 +77,7 @@
             match client.call(method, params, deadline).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
-                    let again = self.learn(&client, &error);
+                    let again = self.handle_error(&client, &error);
                     last = error;
                     if !again {
                         break;
@@ -89,7 +89,11 @@
     }
 
     /// Chooses where to go after `error`; true when the call surely did not run.
-    fn learn(&self, failed: &Arc<client::Client>, error: &cranberrygap_link::error::Error) -> bool {
+    fn handle_error(
+        &self,
+        failed: &Arc<client::Client>,
+        error: &cranberrygap_link::error::Error,
+    ) -> bool {
         match error {
             cranberrygap_link::error::Error::Refused {
                 code: method::NOT_LEADER,
@@ -98,16 +102,16 @@
             } => {
                 let leader = serde_json::from_value::<Option<address::Peer>>(data.clone());
                 let leader = leader.ok().flatten();
-                let leader = leader.map(|leader| self.peers.reached(&leader));
+                let leader = leader.map(|leader| self.peers.address_of(&leader));
                 match leader.filter(|leader| !self.is_avoided(*leader)) {
-                    Some(leader) => self.turn_to(leader),
-                    None => self.rotate(),
+                    Some(leader) => self.set_target(leader),
+                    None => self.select_next_peer(),
                 }
                 true
             }
             cranberrygap_link::error::Error::Refused { .. } => false,
             other => {
-                self.forget(failed);
+                self.discard_client(failed);
                 other.not_sent()
             }
         }
@@ -121,16 +125,16 @@
         let inner = self.inner.lock();
         inner
             .avoided
-            .is_some_and(|(at, since)| at == target && since.elapsed() < AVOIDED)
+            .is_some_and(|(at, since)| at == target && since.elapsed() < AVOIDANCE_TIME)
     }
 
-    async fn connected(&self) -> Result<Arc<client::Client>, cranberrygap_link::error::Error> {
-        if let Some(client) = self.live() {
+    async fn connect(&self) -> Result<Arc<client::Client>, cranberrygap_link::error::Error> {
+        if let Some(client) = self.open_client() {
             return Ok(client);
         }
         // One task connects; the others wait and then use its connection.
         let _guard = self.connecting.lock().await;
-        if let Some(client) = self.live() {
+        if let Some(client) = self.open_client() {
             return Ok(client);
         }
         let target = self.target().ok_or_else(unreachable)?;
@@ -138,12 +142,12 @@
         let client = Arc::new(client::Client::connect(target, role, &self.secret.shown()).await?);
         let mut inner = self.inner.lock();
         inner.client = Some(Arc::clone(&client));
-        inner.reached = Some(target);
+        inner.connected_to = Some(target);
         drop(inner);
         Ok(client)
     }
 
-    fn live(&self) -> Option<Arc<client::Client>> {
+    fn open_client(&self) -> Option<Arc<client::Client>> {
         let inner = self.inner.lock();
         inner
             .client
@@ -157,11 +161,11 @@
         inner.target.or_else(|| {
             let peers = self.peers.list();
             let next = peers.get(inner.position % peers.len().max(1));
-            next.map(|peer| self.peers.reached(peer))
+            next.map(|peer| self.peers.address_of(peer))
         })
     }
 
-    fn turn_to(&self, target: address::Socket) {
+    fn set_target(&self, target: address::Socket) {
         let mut inner = self.inner.lock();
         inner.target = Some(target);
         inner.client = None;
@@ -173,14 +177,14 @@
         self.inner.lock().avoided = target.map(|target| (target, Instant::now()));
     }
 
-    fn rotate(&self) {
+    fn select_next_peer(&self) {
         let mut inner = self.inner.lock();
         inner.position = inner.position.wrapping_add(1);
         inner.target = None;
         inner.client = None;
     }
 
-    fn forget(&self, failed: &Arc<client::Client>) {
+    fn discard_client(&self, failed: &Arc<client::Client>) {
         let mut inner = self.inner.lock();
         let is_held = inner
             .client
@@ -188,7 +192,7 @@
             .is_some_and(|held| Arc::ptr_eq(held, failed));
         if is_held {
             inner.client = None;
-            inner.avoided = inner.reached.take().map(|at| (at, Instant::now()));
+            inner.avoided = inner.connected_to.take().map(|at| (at, Instant::now()));
             inner.target = None;
             inner.position = inner.position.wrapping_add(1);
         }
--- a/crates/cranberrygap-entry/src/control/subscription.rs
+++ b/crates/cranberrygap-entry/src/control/subscription.rs
@@ -13,7 +13,7 @@
 
 /// Time between two looks at a source that sends nothing. Without one, a lag would be
 /// noticed only with the next frame, which a source that stands still never sends.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The task that follows the view.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
             {
                 warn!("view: lost {}: {cause}", peer.instance);
             }
-            tokio::time::sleep(source::PAUSE.to_std()).await;
+            tokio::time::sleep(source::RECONNECT_DELAY.to_std()).await;
         }
     }
 
@@ -58,43 +58,43 @@
             "view: follows {} from revision {}",
             peer.instance, wanted.revision
         );
-        self.core.view.follow(peer.instance.clone());
+        self.core.view.set_source(peer.instance.clone());
         let mut source = source::Source::new(self.core.now());
         loop {
             // A connection that something between the ends has forgotten stays open
             // and silent. The view would grow stale without any error; the missing
             // heartbeat shows it.
-            if let Some(loss) = source.loss(self.core.now(), &self.core.view) {
+            if let Some(loss) = source.failure(self.core.now(), &self.core.view) {
                 warn!("view: leaves {}: {loss}", peer.instance);
                 return Ok(());
             }
-            let next = tokio::time::timeout(LOOK, frames.next()).await;
+            let next = tokio::time::timeout(CHECK_INTERVAL, frames.next()).await;
             let Ok(next) = next else {
                 continue;
             };
             let Some(frame) = next else {
                 return Ok(());
             };
-            source.hear(self.core.now());
-            if let Err(cause) = self.core.view.take(frame?) {
+            source.record_frame(self.core.now());
+            if let Err(cause) = self.core.view.apply_frame(frame?) {
                 warn!("view: starts anew: {cause}");
                 return Ok(());
             }
-            self.publish();
+            self.apply_view();
         }
     }
 
-    fn publish(&self) {
+    fn apply_view(&self) {
         let Some(view) = self.core.view.latest() else {
             return;
         };
         self.core.limiter.apply_view(&view);
         self.core.router.apply_view(&view);
         self.core.endpoints.apply_view(self.core.now(), &view);
-        let controls = view.controls().map(|member| address::Peer {
+        let controls = view.control_members().map(|member| address::Peer {
             instance: member.instance.clone(),
             address: member.address,
         });
-        self.core.peers.set_seen(controls.collect());
+        self.core.peers.set_members(controls.collect());
     }
 }
--- a/crates/cranberrygap-entry/src/core.rs
+++ b/crates/cranberrygap-entry/src/core.rs
@@ -34,7 +34,7 @@
     pub(crate) leader: control::Session,
     pub(crate) limiter: Arc<dyn admission::Limiter>,
     /// Where other entries borrow tokens from this one.
-    pub(crate) lending: Option<address::Socket>,
+    pub(crate) lending_address: Option<address::Socket>,
     pub(crate) router: Arc<dyn route::Router>,
     /// Endpoints of the traffic plan's services.
     pub(crate) endpoints: gateway::Endpoints,
@@ -42,9 +42,9 @@
     /// Requests that wait for a place at the engines.
     pub(crate) queues: Arc<queue::Queues>,
     /// Retries that may still be made.
-    pub(crate) retries: Mutex<retry::Budget>,
+    pub(crate) retry_budget: Mutex<retry::Budget>,
     /// What runs on which endpoint, and who is suspected to crash them.
-    pub(crate) watch: Mutex<suspects::Tracker>,
+    pub(crate) suspects: Mutex<suspects::Tracker>,
     pub(crate) announcements: announce::Inbox,
     pub(crate) demand: control::Demand,
     pub(crate) metrics: Arc<StatsdClient>,
@@ -71,7 +71,7 @@
     pub(crate) fn other_entries(&self) -> Vec<address::Socket> {
         let latest = self.view.latest();
         latest
-            .map(|view| view.others(self.instance()))
+            .map(|view| view.other_entry_addresses(self.instance()))
             .unwrap_or_default()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// The address that callers are told.
-    pub(crate) fn advertised(&self) -> address::Socket {
+    pub(crate) fn advertised_address(&self) -> address::Socket {
         self.settings
             .listen
             .advertise
@@ -105,7 +105,7 @@
     }
 
     /// Notes a length of time.
-    pub(crate) fn time(&self, name: &'static str, span: duration::Span) {
+    pub(crate) fn record_time(&self, name: &'static str, span: duration::Span) {
         let _lost = self.metrics.time(name, span.to_std());
     }
 
@@ -114,7 +114,7 @@
     /// What has not been sent to an endpoint by then is refused. It may wait for tokens or
     /// an engine for longer than the process has, and would end with a closed connection:
     /// its caller would not know whether it ran.
-    pub(crate) async fn closes(&self) {
+    pub(crate) async fn wait_for_closing(&self) {
         let mut closing = self.closing.subscribe();
         // The sender lives as long as this.
         let _never_closed = closing.wait_for(|closing| *closing).await;
--- a/crates/cranberrygap-entry/src/desk.rs
+++ b/crates/cranberrygap-entry/src/desk.rs
@@ -49,7 +49,7 @@
         }
         if addresses.is_empty() && !self.core.is_draining() {
             // The fleet has just started; this entry serves, as its lease shows.
-            addresses.push(self.core.advertised());
+            addresses.push(self.core.advertised_address());
         }
         addresses.shuffle(&mut rand::rng());
         addresses
--- a/crates/cranberrygap-entry/src/engine/attempt.rs
+++ b/crates/cranberrygap-entry/src/engine/attempt.rs
@@ -94,7 +94,7 @@
         let fingerprint = self.fingerprint.clone();
         let cleared =
             self.core
-                .watch
+                .suspects
                 .lock()
                 .finish_request(&incarnation, self.registration_id, true);
         if cleared {
@@ -124,16 +124,16 @@
         if evidence == Evidence::ConnectFailed {
             // The request never reached the engine, so it cannot have crashed it.
             self.core
-                .watch
+                .suspects
                 .lock()
                 .finish_request(&incarnation, self.registration_id, false);
         }
-        if !self.core.watch.lock().is_dead(&incarnation) && !self.is_dead().await {
+        if !self.core.suspects.lock().is_dead(&incarnation) && !self.is_dead().await {
             return false;
         }
         let crash = self
             .core
-            .watch
+            .suspects
             .lock()
             .record_death(self.core.now(), &incarnation);
         if let Some(crash) = crash {
@@ -215,7 +215,7 @@
         self.core.trace.note(&self.about, code, sentence, &facts);
         let incarnation = incarnation(&self.destination);
         self.core
-            .watch
+            .suspects
             .lock()
             .finish_request(&incarnation, self.registration_id, false);
         self.core
--- a/crates/cranberrygap-entry/src/engine/delivery.rs
+++ b/crates/cranberrygap-entry/src/engine/delivery.rs
@@ -37,7 +37,7 @@
     crashes: u32,
     outcome: Outcome,
     /// Place in the queue; dropping it lets the next request in.
-    _queue_place: Option<queue::Place>,
+    _queue_place: Option<queue::Slot>,
 }
 
 impl Delivery {
@@ -45,9 +45,9 @@
     pub(crate) fn new(
         core: &Arc<core::Core>,
         request: &Arc<Request>,
-        queue_place: Option<queue::Place>,
+        queue_place: Option<queue::Slot>,
     ) -> Self {
-        let mut budget = core.retries.lock();
+        let mut budget = core.retry_budget.lock();
         if let Some(view) = core.view.latest() {
             budget.set_share(view.defaults().retry_share);
         }
@@ -136,7 +136,7 @@
         let now = self.core.now();
         let decision = self
             .core
-            .retries
+            .retry_budget
             .lock()
             .decide(now, retry_attempt, &mut rand::rng());
         match decision {
@@ -195,7 +195,7 @@
         let now = self.core.now();
         let fingerprint = &self.request.fingerprint;
         let (id, is_suspect) = {
-            let mut watch = self.core.watch.lock();
+            let mut watch = self.core.suspects.lock();
             let registered = watch.start_request(now, &incarnation, fingerprint);
             (registered.ok()?, watch.is_suspect(now, fingerprint))
         };
@@ -207,7 +207,7 @@
             permission::Permission::acquire(&self.core, &incarnation, fingerprint).await;
         if permission.is_none() {
             self.core
-                .watch
+                .suspects
                 .lock()
                 .finish_request(&incarnation, id, false);
             return None;
--- a/crates/cranberrygap-entry/src/engine/permission.rs
+++ b/crates/cranberrygap-entry/src/engine/permission.rs
@@ -59,7 +59,7 @@
     fn drop(&mut self) {
         self.renewal_task.abort();
         self.core
-            .watch
+            .suspects
             .lock()
             .release_permission(&self.incarnation, &self.fingerprint);
         let core = Arc::clone(&self.core);
@@ -80,7 +80,7 @@
     let is_granted = call(core, &message(core, incarnation, fingerprint, false)).await;
     if is_granted {
         let until = sent_at.after(permission::LEASE_DURATION);
-        core.watch
+        core.suspects
             .lock()
             .hold_permission(incarnation, fingerprint, until);
     }
--- a/crates/cranberrygap-entry/src/gateway/delivery.rs
+++ b/crates/cranberrygap-entry/src/gateway/delivery.rs
@@ -151,7 +151,7 @@
                 let was_refused =
                     matches!(failure, Failure::NoEndpoint { .. } | Failure::NotRun { .. });
                 if let (Some((model, work)), true) = (counted_demand, was_refused) {
-                    self.gateway.core.demand.refused(&model, work);
+                    self.gateway.core.demand.record_refusal(&model, work);
                 }
                 Err((self.log, failure))
             }
@@ -165,7 +165,7 @@
             let target = tokio::select! {
                 biased;
                 target = self.choose_target() => target?,
-                () = core.closes() => return Err(Failure::stopping().into()),
+                () = core.wait_for_closing() => return Err(Failure::stopping().into()),
             };
             let outcome = self.send(&target, None).await?;
             self.log_attempt(&target, &outcome);
@@ -302,7 +302,7 @@
         let tokens = self.request.metadata.tokens.unwrap_or_default();
         let latency = core.endpoints.latency(&self.resolution.service, &model);
         let work = latency.engine_time(tokens.prompt, tokens.output, self.resolution.slots);
-        core.demand.asked(&model, adapter, work);
+        core.demand.record_route_request(&model, adapter, work);
         Some((model, work))
     }
 
@@ -313,7 +313,7 @@
         let waited = now.since(self.request.arrived_at);
         self.log
             .add_step(now, format_args!("the first event is forwarded"));
-        core.time(metric::GATEWAY_FIRST_EVENT, waited);
+        core.record_time(metric::GATEWAY_FIRST_EVENT, waited);
     }
 
     /// Continues the stream at another engine, after `last_event_id`.
--- a/crates/cranberrygap-entry/src/gateway/gossip.rs
+++ b/crates/cranberrygap-entry/src/gateway/gossip.rs
@@ -113,7 +113,7 @@
         let Some(view) = self.core.view.latest() else {
             return;
         };
-        let mut others = view.others(self.core.instance());
+        let mut others = view.other_entry_addresses(self.core.instance());
         // Each entry starts elsewhere in the list, so that not all of them tell the same
         // few.
         let first = usize::try_from(self.core.boot.0).unwrap_or_default();
--- a/crates/cranberrygap-entry/src/gateway/request.rs
+++ b/crates/cranberrygap-entry/src/gateway/request.rs
@@ -295,8 +295,8 @@
     let view = gateway.core.view.current(now);
     gateway
         .core
-        .time(metric::VIEW_AGE, gateway.core.view.age(now));
-    view.ok_or_else(|| no_view(gateway.core.view.wait(now)))
+        .record_time(metric::VIEW_AGE, gateway.core.view.age(now));
+    view.ok_or_else(|| no_view(gateway.core.view.retry_after(now)))
 }
 
 fn to_request(
@@ -397,7 +397,7 @@
     let permit = tokio::select! {
         biased;
         permit = reserved => permit,
-        () = gateway.core.closes() => return Err(Failure::stopping()),
+        () = gateway.core.wait_for_closing() => return Err(Failure::stopping()),
     };
     match permit {
         Ok(permit) => Ok(Some(permit)),
--- a/crates/cranberrygap-entry/src/process.rs
+++ b/crates/cranberrygap-entry/src/process.rs
@@ -68,8 +68,8 @@
 /// A running entry.
 pub struct Process {
     core: Arc<core::Core>,
-    callers: server::Listening,
-    endpoints: server::Listening,
+    callers: server::Listener,
+    endpoints: server::Listener,
     admin: Option<link_server::Handle>,
     gateway: Option<gateway::Listener>,
     fleet: Arc<credential::Holder>,
@@ -96,7 +96,7 @@
         secrets: Secrets,
         metrics: Arc<StatsdClient>,
     ) -> Result<Self, Error> {
-        Self::start_with(settings, secrets, metrics, None).await
+        Self::start_with_dialect(settings, secrets, metrics, None).await
     }
 
     /// Starts an entry that serves the routes of the traffic plan in this form.
@@ -104,13 +104,13 @@
     /// # Errors
     ///
     /// When a listener cannot be opened.
-    pub async fn start_with(
+    pub async fn start_with_dialect(
         mut settings: settings::Entry,
         secrets: Secrets,
         metrics: Arc<StatsdClient>,
         dialect: Option<Arc<dyn dialect::Dialect>>,
     ) -> Result<Self, Error> {
-        settle(&mut settings.control);
+        apply_control_port(&mut settings.control);
         let fleet = Arc::new(credential::Holder::new(secrets.fleet.clone()));
         let boot = number::Boot(rand::random::<u64>() >> BOOT_SHIFT);
         let clock = clock::Clock::start();
@@ -118,7 +118,7 @@
         let shares = Arc::new(admission::Shares::new(clock, instance, boot));
         let exchange = listen_lending(&settings).await?;
         let lending = exchange.as_ref().map(|(_, address)| *address);
-        let core = build(settings, &fleet, metrics, boot, clock, &shares, lending)?;
+        let core = build_core(settings, &fleet, metrics, boot, clock, &shares, lending)?;
         let core = Arc::new(core);
         let endpoints = listen_endpoints(&core, &secrets)?;
         let callers = listen_callers(&core)?;
@@ -168,13 +168,13 @@
 
     /// Where endpoints announce themselves.
     #[must_use]
-    pub fn endpoints(&self) -> address::Socket {
+    pub fn endpoints_address(&self) -> address::Socket {
         self.endpoints.address
     }
 
     /// Where callers of the traffic plan's routes connect, if they may.
     #[must_use]
-    pub fn gateway(&self) -> Option<address::Socket> {
+    pub fn gateway_address(&self) -> Option<address::Socket> {
         self.gateway.as_ref().map(|gateway| gateway.address)
     }
 
@@ -187,8 +187,8 @@
     /// Takes over changed settings, as far as they can change while it runs.
     pub fn reload(&self, settings: &settings::Entry) {
         let mut control = settings.control.clone();
-        settle(&mut control);
-        self.core.peers.set_told(control.peers);
+        apply_control_port(&mut control);
+        self.core.peers.set_configured(control.peers);
     }
 
     /// Whether the entry has a view and a lease to serve from it.
@@ -220,33 +220,33 @@
         info!("entry: drains");
         let last_beat = tokio::spawn({
             let core = Arc::clone(&self.core);
-            async move { control::Heartbeat::new(core).beat().await }
+            async move { control::Heartbeat::new(core).send().await }
         });
         match &self.gateway {
-            Some(gateway) => self.finish_gateway(gateway, begun).await,
-            None => self.finish_callers().await,
+            Some(gateway) => self.drain_gateway(gateway, begun).await,
+            None => self.wait_for_callers().await,
         }
         last_beat.abort();
-        self.callers.finish().await;
-        self.endpoints.finish().await;
+        self.callers.stop().await;
+        self.endpoints.stop().await;
         for task in &self.tasks {
             task.abort();
         }
         let closing = self.shares.return_all(&self.core);
         // Tokens that are not handed back count as spent, which harms nobody long.
-        drop(time::timeout(LAST_WORDS, closing).await);
+        drop(time::timeout(CLEANUP_TIMEOUT, closing).await);
         drop(self.admin);
         info!("entry: stopped");
     }
 
-    async fn finish_callers(&self) {
+    async fn wait_for_callers(&self) {
         let lifetime = self
             .core
             .view
             .latest()
             .map(|view| view.defaults().address_lifetime);
         time::sleep(lifetime.unwrap_or_default().to_std()).await;
-        time::sleep(LATE_VIEWS.to_std()).await;
+        time::sleep(STALE_VIEW_TIME.to_std()).await;
     }
 
     /// Serves on while most callers still hold an answer that names this entry, then
@@ -256,11 +256,11 @@
     /// the stop's end; its caller does better to go to another entry at once, which
     /// it does when this one takes no more connections. So the few callers that keep
     /// answers for longer are not waited for.
-    async fn finish_gateway(&self, gateway: &gateway::Listener, begun: time::Instant) {
+    async fn drain_gateway(&self, gateway: &gateway::Listener, begun: time::Instant) {
         let lifetime = self.desk().lifetime().to_std();
         let longest = self.core.stop_within().to_std();
-        let longest = longest.saturating_sub(LAST_WORDS + DRAIN_LOOK);
-        let serving = (lifetime + LAST_WORDS).min(longest / 2);
+        let longest = longest.saturating_sub(CLEANUP_TIMEOUT + DRAIN_MARGIN);
+        let serving = (lifetime + CLEANUP_TIMEOUT).min(longest / 2);
         time::sleep_until(begun + serving).await;
         self.core.closing.send_replace(true);
         gateway.finish(begun + longest).await;
@@ -269,7 +269,7 @@
 
 /// Puts the group's own port into the addresses of the control processes, where
 /// only their public ones are told.
-fn settle(control: &mut settings::EntryControl) {
+fn apply_control_port(control: &mut settings::EntryControl) {
     let port = u16::try_from(control.port).unwrap_or_default();
     if port != 0 {
         for peer in &mut control.peers {
@@ -320,7 +320,7 @@
         .map_err(|cause| cannot_listen(wanted, &cause))
 }
 
-fn build(
+fn build_core(
     settings: settings::Entry,
     fleet: &Arc<credential::Holder>,
     metrics: Arc<StatsdClient>,
@@ -338,12 +338,12 @@
         view: view::Holder::default(),
         leader: control::Session::new(peers, Arc::clone(fleet)),
         limiter: Arc::clone(shares) as _,
-        lending,
+        lending_address: lending,
         router: Arc::new(route::least_loaded::Router::new(rand::random())),
         upstream: upstream::Clients::new()?,
         queues: Arc::new(queue::Queues::new(clock)),
-        retries: Mutex::new(retry::Budget::new(FIRST_RETRY_SHARE)),
-        watch: Mutex::default(),
+        retry_budget: Mutex::new(retry::Budget::new(INITIAL_RETRY_SHARE)),
+        suspects: Mutex::default(),
         announcements: announce::Inbox::default(),
         demand: control::Demand::default(),
         trace: trace::Trace::new(Arc::clone(&metrics)),
@@ -355,32 +355,32 @@
 }
 
 /// Share of retries until the configuration is known; it is the default there.
-const FIRST_RETRY_SHARE: f64 = 0.1;
+const INITIAL_RETRY_SHARE: f64 = 0.1;
 
 /// Time after which no entry still names one that drains: an entry whose view is
 /// older than its lease answers nobody.
-const LATE_VIEWS: duration::Span = duration::Span::from_secs(2);
+const STALE_VIEW_TIME: duration::Span = duration::Span::from_secs(2);
 
 /// Time for what is left to do once all requests have ended.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+const CLEANUP_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two looks whether callers are gone.
-const DRAIN_LOOK: Duration = Duration::from_millis(100);
+const DRAIN_MARGIN: Duration = Duration::from_millis(100);
 /// Boots stay below 2^53, so that every JSON reader keeps them exactly.
 const BOOT_SHIFT: u32 = 11;
 
-fn listen_callers(core: &Arc<core::Core>) -> Result<server::Listening, Error> {
+fn listen_callers(core: &Arc<core::Core>) -> Result<server::Listener, Error> {
     let wanted = core.settings.listen.callers;
     let limits = core.settings.limits.as_ref();
     let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.connections);
-    let router = server::callers(core);
-    let listening = server::Listening::start(wanted, router, connections as usize);
+    let router = server::callers_router(core);
+    let listening = server::Listener::start(wanted, router, connections as usize);
     listening.map_err(|cause| cannot_listen(wanted, &cause))
 }
 
-fn listen_endpoints(core: &Arc<core::Core>, secrets: &Secrets) -> Result<server::Listening, Error> {
+fn listen_endpoints(core: &Arc<core::Core>, secrets: &Secrets) -> Result<server::Listener, Error> {
     let wanted = core.settings.listen.endpoints;
-    let router = server::endpoints(core, secrets.endpoint.clone());
-    let listening = server::Listening::start(wanted, router, ENDPOINT_CONNECTIONS);
+    let router = server::endpoints_router(core, secrets.endpoint.clone());
+    let listening = server::Listener::start(wanted, router, ENDPOINT_CONNECTIONS);
     listening.map_err(|cause| cannot_listen(wanted, &cause))
 }
 
--- a/crates/cranberrygap-entry/src/queue.rs
+++ b/crates/cranberrygap-entry/src/queue.rs
@@ -10,22 +10,22 @@
 use tokio::sync::oneshot;
 
 /// Queues kept although nobody waits or runs there; the rest is forgotten.
-const MOST_IDLE: usize = 1_024;
+const MAX_IDLE_QUEUES: usize = 1_024;
 
 /// The queues of one entry, one for each model.
 #[derive(Debug)]
 pub struct Queues {
     clock: clock::Clock,
-    lines: Mutex<BTreeMap<id::Model, Line>>,
+    by_model: Mutex<BTreeMap<id::Model, ModelQueue>>,
 }
 
 #[derive(Debug)]
-struct Line {
+struct ModelQueue {
     queue: fairness::Queue,
     waiters: BTreeMap<u64, oneshot::Sender<Decision>>,
     running: usize,
     capacity: usize,
-    next: u64,
+    last_ticket: u64,
 }
 
 /// Either a place or the time after which one may be free.
@@ -33,7 +33,7 @@
 
 /// What a request needs to be queued.
 #[derive(Debug, Clone)]
-pub struct Wish {
+pub struct Request {
     /// The model.
     pub model: id::Model,
     /// Whose request it is.
@@ -43,16 +43,16 @@
     /// Tokens that it may cost.
     pub cost: token::Count,
     /// Longest wait.
-    pub patience: duration::Span,
+    pub max_wait: duration::Span,
     /// Requests that this entry may have at the model's engines together.
     pub capacity: usize,
     /// Requests that may wait for the model.
-    pub length: usize,
+    pub max_waiting: usize,
 }
 
 /// A place at a model's engines, free again when dropped.
 #[derive(Debug)]
-pub struct Place {
+pub struct Slot {
     queues: Arc<Queues>,
     model: id::Model,
 }
@@ -62,12 +62,12 @@
     queues: &'queues Queues,
     model: &'queues id::Model,
     number: u64,
-    decided: oneshot::Receiver<Decision>,
+    decision: oneshot::Receiver<Decision>,
 }
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        let mut lines = self.queues.lines.lock();
+        let mut lines = self.queues.by_model.lock();
         let Some(line) = lines.get_mut(self.model) else {
             return;
         };
@@ -77,16 +77,16 @@
         }
         // The place was given just when the caller left. Kept, it would be lost for
         // ever, and with enough of them the model would serve nobody.
-        if let Ok(Ok(())) = self.decided.try_recv() {
+        if let Ok(Ok(())) = self.decision.try_recv() {
             line.running -= 1;
-            line.serve(self.queues.clock.now());
+            line.grant_slots(self.queues.clock.now());
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.queues.free(&self.model);
+        self.queues.release(&self.model);
     }
 }
 
@@ -96,7 +96,7 @@
     pub fn new(clock: clock::Clock) -> Self {
         Self {
             clock,
-            lines: Mutex::default(),
+            by_model: Mutex::default(),
         }
     }
 
@@ -106,51 +106,53 @@
     ///
     /// The time after which the same request may fare better, as soon as it is
     /// clear that it will not be served in time.
-    pub async fn enter(self: &Arc<Self>, wish: &Wish) -> Result<Place, duration::Span> {
-        let place = || Place {
+    pub async fn acquire(self: &Arc<Self>, wish: &Request) -> Result<Slot, duration::Span> {
+        let place = || Slot {
             queues: Arc::clone(self),
             model: wish.model.clone(),
         };
-        let (number, decided) = match self.join(wish) {
-            Joined::Placed => return Ok(place()),
-            Joined::Refused(wait) => return Err(wait),
-            Joined::Waits(number, decided) => (number, decided),
+        let (number, decided) = match self.enqueue(wish) {
+            Enqueued::Admitted => return Ok(place()),
+            Enqueued::Rejected(wait) => return Err(wait),
+            Enqueued::Waiting(number, decided) => (number, decided),
         };
         let mut ticket = Ticket {
             queues: self,
             model: &wish.model,
             number,
-            decided,
+            decision: decided,
         };
-        let patience = wish.patience.to_std();
-        match tokio::time::timeout(patience, &mut ticket.decided).await {
+        let patience = wish.max_wait.to_std();
+        match tokio::time::timeout(patience, &mut ticket.decision).await {
             Ok(Ok(decision)) => decision.map(|()| place()),
-            Ok(Err(_)) | Err(_) => Err(wish.patience),
+            Ok(Err(_)) | Err(_) => Err(wish.max_wait),
         }
     }
 
-    fn join(&self, wish: &Wish) -> Joined {
+    fn enqueue(&self, wish: &Request) -> Enqueued {
         let now = self.clock.now();
-        let mut lines = self.lines.lock();
-        if lines.len() >= MOST_IDLE {
+        let mut lines = self.by_model.lock();
+        if lines.len() >= MAX_IDLE_QUEUES {
             lines.retain(|_, line| line.running > 0 || !line.queue.is_empty());
         }
-        let line = lines.entry(wish.model.clone()).or_insert_with(Line::new);
+        let line = lines
+            .entry(wish.model.clone())
+            .or_insert_with(ModelQueue::new);
         line.capacity = wish.capacity;
-        line.queue.set_capacity(wish.length);
-        line.next += 1;
-        let number = line.next;
+        line.queue.set_capacity(wish.max_waiting);
+        line.last_ticket += 1;
+        let number = line.last_ticket;
         let request = fairness::Request {
             ticket: number,
             workspace: wish.workspace.clone(),
             weight: wish.weight,
             cost: wish.cost,
-            deadline: now.after(wish.patience),
+            deadline: now.after(wish.max_wait),
         };
         let (sender, decided) = oneshot::channel();
         if let Some(refused) = line.queue.push(now, request) {
             if refused.ticket == number {
-                return Joined::Refused(refused.retry_after);
+                return Enqueued::Rejected(refused.retry_after);
             }
             if let Some(waiter) = line.waiters.remove(&refused.ticket) {
                 // Whoever has left meanwhile needs no answer.
@@ -158,26 +160,26 @@
             }
         }
         line.waiters.insert(number, sender);
-        line.serve(now);
+        line.grant_slots(now);
         if line.waiters.contains_key(&number) {
-            return Joined::Waits(number, decided);
+            return Enqueued::Waiting(number, decided);
         }
-        Joined::Placed
+        Enqueued::Admitted
     }
 
-    fn free(&self, model: &id::Model) {
+    fn release(&self, model: &id::Model) {
         let now = self.clock.now();
-        let mut lines = self.lines.lock();
+        let mut lines = self.by_model.lock();
         if let Some(line) = lines.get_mut(model) {
             line.running -= 1;
-            line.serve(now);
+            line.grant_slots(now);
         }
     }
 
     /// The whole state, for a dump.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
-        let lines = self.lines.lock();
+        let lines = self.by_model.lock();
         let busy = lines.iter().filter(|(_, line)| line.running > 0);
         let shown = busy.map(|(model, line)| {
             let state = serde_json::json!({
@@ -189,25 +191,25 @@
     }
 }
 
-enum Joined {
-    Placed,
-    Refused(duration::Span),
-    Waits(u64, oneshot::Receiver<Decision>),
+enum Enqueued {
+    Admitted,
+    Rejected(duration::Span),
+    Waiting(u64, oneshot::Receiver<Decision>),
 }
 
-impl Line {
+impl ModelQueue {
     fn new() -> Self {
         Self {
             queue: fairness::Queue::new(1),
             waiters: BTreeMap::new(),
             running: 0,
             capacity: 0,
-            next: 0,
+            last_ticket: 0,
         }
     }
 
     /// Gives free places to whoever is next.
-    fn serve(&mut self, now: duration::Instant) {
+    fn grant_slots(&mut self, now: duration::Instant) {
         while self.running < self.capacity {
             let Some(request) = self.queue.pop(now) else {
                 return;
--- a/crates/cranberrygap-entry/src/server.rs
+++ b/crates/cranberrygap-entry/src/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP listeners.
 
 mod announcements;
-mod bound;
+mod concurrency;
 pub(crate) mod socket;
 
 use std::sync::Arc;
@@ -20,13 +20,13 @@
 pub(crate) use announcements::Announcements;
 
 /// A listener that serves.
-pub(crate) struct Listening {
+pub(crate) struct Listener {
     pub address: address::Socket,
     handle: ServerHandle,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Listening {
+impl Listener {
     /// Serves `router` at `wanted`, at most `connections` at a time.
     pub(crate) fn start(
         wanted: address::Socket,
@@ -46,14 +46,14 @@
     }
 
     /// Takes no new connections and waits until all requests have ended.
-    pub(crate) async fn finish(self) {
+    pub(crate) async fn stop(self) {
         self.handle.stop_graceful(None);
         drop(self.task.await);
     }
 }
 
 /// The callers' paths.
-pub(crate) fn callers(core: &Arc<core::Core>) -> Router {
+pub(crate) fn callers_router(core: &Arc<core::Core>) -> Router {
     let chat = caller::generate::Generate {
         core: Arc::clone(core),
         path: "/v1/chat/completions",
@@ -79,14 +79,14 @@
             }),
         );
     Router::new()
-        .hoop(bound::Bound::new(core))
+        .hoop(concurrency::Limit::new(core))
         .push(v1)
         .push(Router::with_path("services/{name}/{**rest}").goal(services))
-        .push(Router::with_path("{**rest}").goal(bound::Unknown))
+        .push(Router::with_path("{**rest}").goal(concurrency::NotFound))
 }
 
 /// The endpoints' paths.
-pub(crate) fn endpoints(core: &Arc<core::Core>, token: Option<String>) -> Router {
+pub(crate) fn endpoints_router(core: &Arc<core::Core>, token: Option<String>) -> Router {
     let announcements = Announcements {
         core: Arc::clone(core),
         token,
@@ -103,7 +103,7 @@
         .settings
         .limits
         .as_ref()
-        .map_or(DEFAULT_BODY, |limits| limits.body.0);
+        .map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body.0);
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     match request.payload_with_max_size(limit).await {
         Ok(bytes) => Ok(Bytes::clone(bytes)),
@@ -113,4 +113,4 @@
 }
 
 /// Largest body without a setting; the schema's default is the same.
-const DEFAULT_BODY: u64 = 1 << 20;
+const DEFAULT_MAX_BODY_BYTES: u64 = 1 << 20;
--- a/crates/cranberrygap-entry/src/server/announcements.rs
+++ b/crates/cranberrygap-entry/src/server/announcements.rs
@@ -11,10 +11,10 @@
 use crate::core;
 
 /// Time until an endpoint's next announcement.
-const HEARTBEAT: duration::Span = duration::Span::from_secs(1);
+const HEARTBEAT_INTERVAL: duration::Span = duration::Span::from_secs(1);
 
 /// Largest announcement, in bytes; one with thousands of adapters fits.
-const LARGEST: usize = 256 * 1024;
+const MAX_ANNOUNCEMENT_BYTES: usize = 256 * 1024;
 
 /// Takes announcements.
 #[derive(Debug)]
@@ -33,21 +33,22 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        if !self.is_allowed(req) {
+        if !self.is_authorized(req) {
             res.status_code(StatusCode::UNAUTHORIZED);
             return;
         }
-        let read: Result<endpoint::Announcement, _> = req.parse_json_with_max_size(LARGEST).await;
+        let read: Result<endpoint::Announcement, _> =
+            req.parse_json_with_max_size(MAX_ANNOUNCEMENT_BYTES).await;
         let Ok(announcement) = read else {
             res.status_code(StatusCode::BAD_REQUEST);
             return;
         };
-        self.take(announcement, res);
+        self.accept(announcement, res);
     }
 }
 
 impl Announcements {
-    fn is_allowed(&self, request: &Request) -> bool {
+    fn is_authorized(&self, request: &Request) -> bool {
         let Some(token) = &self.token else {
             return true;
         };
@@ -61,7 +62,7 @@
         blake3::hash(shown.as_bytes()) == blake3::hash(token.as_bytes())
     }
 
-    fn take(&self, announcement: endpoint::Announcement, response: &mut Response) {
+    fn accept(&self, announcement: endpoint::Announcement, response: &mut Response) {
         // A leave is acted on here at once; the others learn it through the log.
         if announcement.phase == endpoint::Phase::Leaving {
             self.core.router.mark_leaving(&announcement.endpoint);
@@ -69,20 +70,20 @@
             let sentence = "it said that it leaves, and gets no new work from here";
             self.core.trace.note(&about, "leaving", sentence, &[]);
         }
-        if let Err(cause) = self.core.announcements.take(announcement) {
+        if let Err(cause) = self.core.announcements.accept(announcement) {
             response.status_code(StatusCode::CONFLICT);
             crate::caller::write_json(response, serde_json::json!(cause.to_string()).to_string());
             return;
         }
         let welcome = endpoint::Welcome {
-            addresses: self.listeners(),
-            heartbeat: HEARTBEAT,
+            addresses: self.listener_addresses(),
+            heartbeat: HEARTBEAT_INTERVAL,
         };
         crate::caller::write_json(response, serde_json::json!(welcome).to_string());
     }
 
     /// This entry's listener first, then those of the others.
-    fn listeners(&self) -> Vec<address::Socket> {
+    fn listener_addresses(&self) -> Vec<address::Socket> {
         let own = self.core.settings.listen.endpoints;
         let view = self.core.view.latest();
         let members: Vec<view::Member> = view
--- a/crates/cranberrygap-entry/src/server/bound.rs
+++ b/crates/cranberrygap-entry/src/server/concurrency.rs
@@ -16,12 +16,12 @@
 
 /// Refuses at once when too many requests are in progress.
 #[derive(Debug)]
-pub(crate) struct Bound {
+pub(crate) struct Limit {
     slots: Arc<Semaphore>,
     core: Arc<core::Core>,
 }
 
-impl Bound {
+impl Limit {
     /// A bound from the settings.
     pub(crate) fn new(core: &Arc<core::Core>) -> Self {
         let limits = core.settings.limits.as_ref();
@@ -34,7 +34,7 @@
 }
 
 #[salvo::async_trait]
-impl Handler for Bound {
+impl Handler for Limit {
     async fn handle(
         &self,
         req: &mut Request,
@@ -59,10 +59,10 @@
 
 /// Answers paths that do not exist.
 #[derive(Debug)]
-pub(crate) struct Unknown;
+pub(crate) struct NotFound;
 
 #[salvo::async_trait]
-impl Handler for Unknown {
+impl Handler for NotFound {
     async fn handle(
         &self,
         req: &mut Request,
--- a/crates/cranberrygap-entry/src/view.rs
+++ b/crates/cranberrygap-entry/src/view.rs
@@ -1,9 +1,9 @@
 //! What this entry knows of the replicated state, and until when it may use it.
 
-mod outlook;
+mod recovery;
 mod snapshot;
 pub mod source;
-mod standing;
+mod status;
 pub mod traffic;
 
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 use cranberrygap_wire::view;
 use parking_lot::RwLock;
 
-pub use outlook::{Absence, Outlook};
+pub use recovery::Outage;
 pub use snapshot::Snapshot;
-pub use standing::Standing;
+pub use status::Status;
 
 /// The view and the lease under which it may be used.
 #[derive(Debug, Default)]
@@ -29,12 +29,12 @@
     /// Revision that the leader had committed when it last answered.
     committed: number::Revision,
     /// Since when it is known that the leader had committed more than is held here.
-    behind: Option<duration::Instant>,
+    behind_since: Option<duration::Instant>,
     /// Control process that the view is followed from.
     source: Option<id::Instance>,
     /// When the view was last known to be all that the leader had committed.
-    newest: duration::Instant,
-    outlook: Outlook,
+    last_current_at: duration::Instant,
+    recovery: recovery::Estimate,
 }
 
 /// Time for which an entry serves on once it knows that its view is behind.
@@ -42,7 +42,7 @@
 /// It may learn of that half a second late, with its next heartbeat, and a change must be
 /// in force two seconds after it was accepted. Without this bound one saw an entry whose
 /// source hung refuse a key 2.6 s after it was issued, under a lease of the time before.
-const BEHIND: duration::Span = duration::Span::from_millis(1_000);
+const MAX_LAG: duration::Span = duration::Span::from_millis(1_000);
 
 /// A frame that does not follow what was seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -69,7 +69,7 @@
     /// The snapshot to serve from, `None` when the lease is out.
     pub fn current(&self, now: duration::Instant) -> Option<Arc<Snapshot>> {
         let inner = self.inner.read();
-        if now >= inner.lease_end || inner.is_behind(now, BEHIND) {
+        if now >= inner.lease_end || inner.is_behind(now, MAX_LAG) {
             return None;
         }
         inner.snapshot.clone()
@@ -91,31 +91,31 @@
 
     /// The revision of the last change that the leader waits for, 0 before the first
     /// snapshot.
-    pub fn binding(&self) -> number::Revision {
+    pub fn binding_revision(&self) -> number::Revision {
         let inner = self.inner.read();
         let held = inner.snapshot.as_ref();
-        held.map_or_else(number::Revision::default, |held| held.binding())
+        held.map_or_else(number::Revision::default, |held| held.binding_revision())
     }
 
     /// Notes from which control process frames come from now on.
-    pub fn follow(&self, source: id::Instance) {
+    pub fn set_source(&self, source: id::Instance) {
         self.inner.write().source = Some(source);
     }
 
     /// Time at `now` since the view was last known to be the newest.
     pub fn age(&self, now: duration::Instant) -> duration::Span {
-        now.since(self.inner.read().newest)
+        now.since(self.inner.read().last_current_at)
     }
 
     /// Where the view stands, for the log.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> Status {
         let inner = self.inner.read();
         let held = inner.snapshot.as_ref();
-        Standing {
+        Status {
             source: inner.source.clone(),
             revision: held.map_or_else(number::Revision::default, |held| held.revision()),
             committed: inner.committed,
-            behind: inner.behind,
+            behind_since: inner.behind_since,
             lease_end: inner.lease_end,
         }
     }
@@ -126,13 +126,13 @@
     }
 
     /// Notes at `now` that the leader did not answer.
-    pub fn miss(&self, now: duration::Instant, absence: Absence) {
-        self.inner.write().outlook.failed(now, absence);
+    pub fn record_failure(&self, now: duration::Instant, absence: Outage) {
+        self.inner.write().recovery.record_failure(now, absence);
     }
 
     /// Time after which a caller that cannot be served at `now` should come back.
-    pub fn wait(&self, now: duration::Instant) -> duration::Span {
-        self.inner.read().outlook.wait(now)
+    pub fn retry_after(&self, now: duration::Instant) -> duration::Span {
+        self.inner.read().recovery.retry_after(now)
     }
 
     /// Takes a frame of the subscription.
@@ -140,7 +140,7 @@
     /// # Errors
     ///
     /// A frame out of order; the subscription must then start anew.
-    pub fn take(&self, frame: view::Frame) -> Result<(), Error> {
+    pub fn apply_frame(&self, frame: view::Frame) -> Result<(), Error> {
         let mut inner = self.inner.write();
         let held = inner.snapshot.as_ref().map(|snapshot| snapshot.revision());
         let next = match frame {
@@ -152,11 +152,11 @@
             view::Frame::Delta { revision, changes } => {
                 let base = inner.snapshot.as_ref().ok_or(Error::NoSnapshot)?;
                 check_order(revision, base.revision())?;
-                base.with(revision, changes)
+                base.with_changes(revision, changes)
             }
         };
         if next.revision() >= inner.committed {
-            inner.behind = None;
+            inner.behind_since = None;
         }
         inner.snapshot = Some(Arc::new(next));
         Ok(())
@@ -169,9 +169,9 @@
     /// leader had committed at the answer before: an entry whose subscription
     /// hangs at an old revision, while its heartbeats reach the leader, would
     /// otherwise go on accepting a key that was withdrawn.
-    pub fn confirm(&self, sent: duration::Instant, confirmed: &view::Confirmed) {
+    pub fn apply_confirmation(&self, sent: duration::Instant, confirmed: &view::Confirmed) {
         let mut inner = self.inner.write();
-        inner.outlook.answered();
+        inner.recovery.record_answer();
         let held = inner
             .snapshot
             .as_ref()
@@ -179,9 +179,9 @@
         let lags = held < inner.committed;
         inner.committed = inner.committed.max(confirmed.revision);
         if held < inner.committed {
-            inner.behind.get_or_insert(sent);
+            inner.behind_since.get_or_insert(sent);
         } else {
-            inner.newest = inner.newest.max(sent);
+            inner.last_current_at = inner.last_current_at.max(sent);
         }
         if lags {
             return;
@@ -192,7 +192,8 @@
 
 impl Inner {
     fn is_behind(&self, now: duration::Instant, span: duration::Span) -> bool {
-        self.behind.is_some_and(|since| now >= since.after(span))
+        self.behind_since
+            .is_some_and(|since| now >= since.after(span))
     }
 }
 
--- a/crates/cranberrygap-entry/src/view/snapshot.rs
+++ b/crates/cranberrygap-entry/src/view/snapshot.rs
@@ -16,7 +16,7 @@
 pub struct Snapshot {
     revision: number::Revision,
     /// Revision of the last change that this entry has to confirm at once.
-    binding: number::Revision,
+    binding_revision: number::Revision,
     configuration: Arc<configuration::Configuration>,
     catalogue: Arc<BTreeMap<id::Model, endpoint::Weights>>,
     keys: Arc<BTreeMap<SmolStr, view::Key>>,
@@ -33,41 +33,47 @@
     pub(super) fn new(revision: number::Revision, state: view::State) -> Self {
         Self {
             revision,
-            binding: revision,
+            binding_revision: revision,
             configuration: Arc::new(state.configuration),
-            catalogue: Arc::new(catalogue(state.catalogue)),
-            keys: Arc::new(keyed(state.keys, |key| key.hash.clone())),
-            endpoints: Arc::new(keyed(state.endpoints, |e| e.announcement.endpoint.clone())),
-            members: Arc::new(keyed(state.members, |member| member.instance.clone())),
-            quarantines: Arc::new(keyed(state.quarantines, |q| q.fingerprint.clone())),
+            catalogue: Arc::new(index_catalogue(state.catalogue)),
+            keys: Arc::new(index_by(state.keys, |key| key.hash.clone())),
+            endpoints: Arc::new(index_by(state.endpoints, |e| {
+                e.announcement.endpoint.clone()
+            })),
+            members: Arc::new(index_by(state.members, |member| member.instance.clone())),
+            quarantines: Arc::new(index_by(state.quarantines, |q| q.fingerprint.clone())),
             workspaces: Arc::new(state.workspaces),
-            residencies: Arc::new(keyed(state.residencies, |told| told.endpoint.clone())),
-            lenders: Arc::new(lenders(state.lenders)),
+            residencies: Arc::new(index_by(state.residencies, |told| told.endpoint.clone())),
+            lenders: Arc::new(index_lenders(state.lenders)),
             traffic: state
                 .traffic
                 .map(|plan| Arc::new(traffic::Table::new(plan))),
         }
     }
 
-    pub(super) fn with(&self, revision: number::Revision, changes: Vec<view::Change>) -> Self {
+    pub(super) fn with_changes(
+        &self,
+        revision: number::Revision,
+        changes: Vec<view::Change>,
+    ) -> Self {
         let mut next = self.clone();
         next.revision = revision;
         if changes.iter().any(binding::is_binding) {
-            next.binding = revision;
+            next.binding_revision = revision;
         }
         for change in changes {
-            next.apply(change);
+            next.apply_change(change);
         }
         next
     }
 
-    fn apply(&mut self, change: view::Change) {
+    fn apply_change(&mut self, change: view::Change) {
         match change {
             view::Change::Configured { configuration } => {
                 self.configuration = Arc::new(configuration);
             }
             view::Change::Catalogued { catalogue: listed } => {
-                self.catalogue = Arc::new(catalogue(listed));
+                self.catalogue = Arc::new(index_catalogue(listed));
             }
             view::Change::KeyIssued { key } => {
                 Arc::make_mut(&mut self.keys).insert(key.hash.clone(), key);
@@ -121,8 +127,8 @@
 
     /// The revision of the last change that the leader waits for.
     #[must_use]
-    pub fn binding(&self) -> number::Revision {
-        self.binding
+    pub fn binding_revision(&self) -> number::Revision {
+        self.binding_revision
     }
 
     /// The fleet-wide defaults.
@@ -191,7 +197,7 @@
     }
 
     /// Control processes that belong to the group.
-    pub fn controls(&self) -> impl Iterator<Item = &view::Member> {
+    pub fn control_members(&self) -> impl Iterator<Item = &view::Member> {
         let members = self.members.values();
         members.filter(|m| m.role == view::Role::Control && m.phase != view::Phase::Left)
     }
@@ -212,7 +218,7 @@
 
     /// Callers' addresses of other entries that take callers.
     #[must_use]
-    pub fn others(&self, own: &id::Instance) -> Vec<address::Socket> {
+    pub fn other_entry_addresses(&self, own: &id::Instance) -> Vec<address::Socket> {
         let others = self
             .active_entries()
             .filter(|member| member.instance != *own);
@@ -249,16 +255,16 @@
     }
 }
 
-fn keyed<K: Ord, V>(items: Vec<V>, key: impl Fn(&V) -> K) -> BTreeMap<K, V> {
+fn index_by<K: Ord, V>(items: Vec<V>, key: impl Fn(&V) -> K) -> BTreeMap<K, V> {
     items.into_iter().map(|item| (key(&item), item)).collect()
 }
 
-fn lenders(listed: Vec<view::Lender>) -> BTreeMap<id::Workspace, id::Instance> {
+fn index_lenders(listed: Vec<view::Lender>) -> BTreeMap<id::Workspace, id::Instance> {
     let chosen = listed.into_iter();
     let chosen = chosen.filter_map(|lender| Some((lender.workspace, lender.instance?)));
     chosen.collect()
 }
 
-fn catalogue(listed: Vec<endpoint::Weights>) -> BTreeMap<id::Model, endpoint::Weights> {
-    keyed(listed, |weights| weights.model.clone())
+fn index_catalogue(listed: Vec<endpoint::Weights>) -> BTreeMap<id::Model, endpoint::Weights> {
+    index_by(listed, |weights| weights.model.clone())
 }
--- a/crates/cranberrygap-entry/src/view/source.rs
+++ b/crates/cranberrygap-entry/src/view/source.rs
@@ -8,27 +8,27 @@
 
 /// Silence after which another control process is asked. Control processes send
 /// a heartbeat each quarter of a second, so this is three missed ones.
-pub const SILENCE: duration::Span = duration::Span::from_millis(800);
+pub const SILENCE_TIMEOUT: duration::Span = duration::Span::from_millis(800);
 
 /// Time behind the leader after which another control process is asked. One that was cut
 /// off from the others goes on sending heartbeats, and the view would stay as it is; news
 /// take some milliseconds otherwise.
-pub const LAGGING: duration::Span = duration::Span::from_millis(300);
+pub const LAG_TIMEOUT: duration::Span = duration::Span::from_millis(300);
 
 /// Pause before the next process is asked, so that a fleet without control is
 /// not asked in a tight loop.
-pub const PAUSE: duration::Span = duration::Span::from_millis(100);
+pub const RECONNECT_DELAY: duration::Span = duration::Span::from_millis(100);
 
 /// Why a source is left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
+pub enum Failure {
     /// Nothing came from it for [`SILENCE`].
     Silent,
     /// The view has been behind the leader for [`LAGGING`].
     Lagging,
 }
 
-impl fmt::Display for Loss {
+impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Silent => "it is silent",
@@ -40,9 +40,9 @@
 /// The control process that a view is followed from.
 #[derive(Debug, Clone, Copy)]
 pub struct Source {
-    heard: duration::Instant,
+    last_frame_at: duration::Instant,
     /// Whether it has sent anything yet.
-    opened: bool,
+    has_sent_frame: bool,
 }
 
 impl Source {
@@ -50,15 +50,15 @@
     #[must_use]
     pub const fn new(now: duration::Instant) -> Self {
         Self {
-            heard: now,
-            opened: false,
+            last_frame_at: now,
+            has_sent_frame: false,
         }
     }
 
     /// A frame came at `now`.
-    pub const fn hear(&mut self, now: duration::Instant) {
-        self.heard = now;
-        self.opened = true;
+    pub const fn record_frame(&mut self, now: duration::Instant) {
+        self.last_frame_at = now;
+        self.has_sent_frame = true;
     }
 
     /// Why it is to be left at `now`, if it is.
@@ -66,11 +66,11 @@
     /// A source is not to blame for a lag before its first frame. Left for it, each would be
     /// asked and left in turn, and an entry that starts would never get a view.
     #[must_use]
-    pub fn loss(&self, now: duration::Instant, holder: &Holder) -> Option<Loss> {
-        if now.since(self.heard) >= SILENCE {
-            return Some(Loss::Silent);
+    pub fn failure(&self, now: duration::Instant, holder: &Holder) -> Option<Failure> {
+        if now.since(self.last_frame_at) >= SILENCE_TIMEOUT {
+            return Some(Failure::Silent);
         }
-        let lags = self.opened && holder.is_behind(now, LAGGING);
-        lags.then_some(Loss::Lagging)
+        let lags = self.has_sent_frame && holder.is_behind(now, LAG_TIMEOUT);
+        lags.then_some(Failure::Lagging)
     }
 }
--- a/crates/cranberrygap-entry/tests/announcements.rs
+++ b/crates/cranberrygap-entry/tests/announcements.rs
@@ -30,12 +30,12 @@
 #[test]
 fn late_heartbeat_of_a_former_process_hides_none_of_its_successor() {
     let inbox = announce::Inbox::default();
-    inbox.take(announcement(1, 1)).unwrap();
-    inbox.take(announcement(2, 1)).unwrap();
+    inbox.accept(announcement(1, 1)).unwrap();
+    inbox.accept(announcement(2, 1)).unwrap();
     drop(inbox.drain());
-    inbox.take(announcement(2, 9)).unwrap();
+    inbox.accept(announcement(2, 9)).unwrap();
 
-    inbox.take(announcement(1, 40)).unwrap();
+    inbox.accept(announcement(1, 40)).unwrap();
 
     assert!(seen(&inbox.drain()).contains(&(2, 9)));
 }
@@ -44,9 +44,9 @@
 #[test]
 fn late_announcement_of_a_former_process_replaces_none_of_its_successor() {
     let inbox = announce::Inbox::default();
-    inbox.take(announcement(2, 1)).unwrap();
+    inbox.accept(announcement(2, 1)).unwrap();
 
-    inbox.take(announcement(1, 40)).unwrap();
+    inbox.accept(announcement(1, 40)).unwrap();
 
     assert!(boots(&inbox.drain()).contains(&2));
 }
@@ -56,9 +56,9 @@
 #[test]
 fn late_announcement_of_a_former_process_loses_no_batch_that_failed() {
     let inbox = announce::Inbox::default();
-    inbox.take(announcement(2, 1)).unwrap();
+    inbox.accept(announcement(2, 1)).unwrap();
     let failed = inbox.drain();
-    inbox.take(announcement(1, 40)).unwrap();
+    inbox.accept(announcement(1, 40)).unwrap();
 
     inbox.restore(failed);
 
@@ -70,24 +70,24 @@
 #[test]
 fn heartbeats_of_two_processes_are_no_new_content() {
     let inbox = announce::Inbox::default();
-    inbox.take(announcement(1, 1)).unwrap();
-    inbox.take(announcement(2, 1)).unwrap();
+    inbox.accept(announcement(1, 1)).unwrap();
+    inbox.accept(announcement(2, 1)).unwrap();
     drop(inbox.drain());
 
-    inbox.take(announcement(1, 2)).unwrap();
-    inbox.take(announcement(2, 2)).unwrap();
+    inbox.accept(announcement(1, 2)).unwrap();
+    inbox.accept(announcement(2, 2)).unwrap();
 
-    assert!(!inbox.has_fresh());
+    assert!(!inbox.has_new_content());
 }
 
 // A delayed heartbeat of the former process must not undo its own leave either.
 #[test]
 fn older_announcement_of_the_same_process_is_refused() {
     let inbox = announce::Inbox::default();
-    inbox.take(announcement(1, 2)).unwrap();
-    inbox.take(announcement(2, 1)).unwrap();
+    inbox.accept(announcement(1, 2)).unwrap();
+    inbox.accept(announcement(2, 1)).unwrap();
 
-    let taken = inbox.take(announcement(1, 1));
+    let taken = inbox.accept(announcement(1, 1));
 
     assert_eq!(taken, Err(announce::Error::Older));
 }
@@ -97,9 +97,9 @@
 #[test]
 fn processes_are_passed_on_in_the_order_in_which_they_came() {
     let inbox = announce::Inbox::default();
-    inbox.take(announcement(9, 1)).unwrap();
+    inbox.accept(announcement(9, 1)).unwrap();
     let failed = inbox.drain();
-    inbox.take(announcement(3, 1)).unwrap();
+    inbox.accept(announcement(3, 1)).unwrap();
 
     inbox.restore(failed);
 
@@ -112,7 +112,7 @@
     let inbox = announce::Inbox::default();
 
     for boot in 1..=100 {
-        inbox.take(announcement(boot, 1)).unwrap();
+        inbox.accept(announcement(boot, 1)).unwrap();
     }
 
     let boots = boots(&inbox.drain());
--- a/crates/cranberrygap-entry/tests/queues.rs
+++ b/crates/cranberrygap-entry/tests/queues.rs
@@ -10,15 +10,15 @@
 
 const FLOOD: usize = 12;
 
-fn wish(workspace: &str) -> queue::Wish {
-    queue::Wish {
+fn wish(workspace: &str) -> queue::Request {
+    queue::Request {
         model: "frames-7b".parse().expect("a valid name"),
         workspace: workspace.parse().expect("a valid name"),
         weight: 1.0,
         cost: token::Count(100),
-        patience: duration::Span::from_secs(30),
+        max_wait: duration::Span::from_secs(30),
         capacity: 1,
-        length: 100,
+        max_waiting: 100,
     }
 }
 
@@ -34,7 +34,7 @@
 ) {
     let (queues, served) = (Arc::clone(queues), served.clone());
     tokio::spawn(async move {
-        let place = queues.enter(&wish(workspace)).await;
+        let place = queues.acquire(&wish(workspace)).await;
         served.send(workspace).expect("the test listens");
         drop(place);
     });
@@ -58,7 +58,10 @@
 #[tokio::test]
 async fn quiet_workspace_does_not_wait_for_a_flood() {
     let queues = queues();
-    let first = queues.enter(&wish("flood")).await.expect("a place is free");
+    let first = queues
+        .acquire(&wish("flood"))
+        .await
+        .expect("a place is free");
     let (sender, mut served) = mpsc::unbounded_channel();
     for _ in 0..FLOOD {
         request(&queues, "flood", &sender);
@@ -78,17 +81,17 @@
 #[tokio::test]
 async fn caller_that_leaves_keeps_no_place() {
     let queues = queues();
-    let first = queues.enter(&wish("a")).await.expect("a place is free");
+    let first = queues.acquire(&wish("a")).await.expect("a place is free");
     let left = tokio::spawn({
         let queues = Arc::clone(&queues);
-        async move { queues.enter(&wish("a")).await.map(drop) }
+        async move { queues.acquire(&wish("a")).await.map(drop) }
     });
     waiting(&queues, 1).await;
 
     left.abort();
     waiting(&queues, 0).await;
     drop(first);
-    let next = queues.enter(&wish("b")).await;
+    let next = queues.acquire(&wish("b")).await;
 
     assert!(next.is_ok(), "{next:?}");
 }
@@ -97,16 +100,16 @@
 #[tokio::test]
 async fn full_queue_refuses_at_once() {
     let queues = queues();
-    let _first = queues.enter(&wish("a")).await.expect("a place is free");
+    let _first = queues.acquire(&wish("a")).await.expect("a place is free");
     let (sender, _served) = mpsc::unbounded_channel();
     request(&queues, "a", &sender);
     waiting(&queues, 1).await;
 
-    let short = queue::Wish {
-        length: 1,
+    let short = queue::Request {
+        max_waiting: 1,
         ..wish("a")
     };
-    let refused = queues.enter(&short).await;
+    let refused = queues.acquire(&short).await;
 
     assert!(refused.is_err_and(|wait| wait > duration::Span(0)));
 }
--- a/crates/cranberrygap-entry/tests/view.rs
+++ b/crates/cranberrygap-entry/tests/view.rs
@@ -60,9 +60,9 @@
 #[test]
 fn view_serves_only_while_its_lease_runs() {
     let holder = view::Holder::default();
-    holder.take(snapshot(5)).unwrap();
+    holder.apply_frame(snapshot(5)).unwrap();
 
-    holder.confirm(millis(100), &confirmed(5));
+    holder.apply_confirmation(millis(100), &confirmed(5));
 
     assert!(holder.current(millis(1599)).is_some());
     assert!(holder.current(millis(1600)).is_none());
@@ -75,11 +75,11 @@
 #[test]
 fn lagging_view_loses_its_lease_though_the_leader_answers() {
     let holder = view::Holder::default();
-    holder.take(snapshot(5)).unwrap();
-    holder.confirm(millis(0), &confirmed(5));
+    holder.apply_frame(snapshot(5)).unwrap();
+    holder.apply_confirmation(millis(0), &confirmed(5));
 
     for beat in 1..10 {
-        holder.confirm(millis(beat * 500), &confirmed(6));
+        holder.apply_confirmation(millis(beat * 500), &confirmed(6));
     }
 
     assert!(holder.current(millis(2000)).is_none());
@@ -88,13 +88,13 @@
 #[test]
 fn withdrawn_key_is_gone_from_the_next_revision_only() {
     let holder = view::Holder::default();
-    holder.take(snapshot(5)).unwrap();
+    holder.apply_frame(snapshot(5)).unwrap();
     let before = holder.latest().unwrap();
 
     let withdrawn = wire_view::Change::KeyWithdrawn {
         key: "key-1".parse().unwrap(),
     };
-    holder.take(delta(6, vec![withdrawn])).unwrap();
+    holder.apply_frame(delta(6, vec![withdrawn])).unwrap();
 
     let after = holder.latest().unwrap();
     assert!(before.key("hash-1").is_some());
@@ -107,9 +107,9 @@
 #[test]
 fn older_frames_are_refused() {
     let holder = view::Holder::default();
-    holder.take(snapshot(5)).unwrap();
+    holder.apply_frame(snapshot(5)).unwrap();
 
-    let outcome = holder.take(snapshot(4));
+    let outcome = holder.apply_frame(snapshot(4));
 
     let expected = view::Error::Older {
         offered: number::Revision(4),
@@ -123,7 +123,7 @@
 fn delta_without_a_snapshot_is_refused() {
     let holder = view::Holder::default();
 
-    let outcome = holder.take(delta(1, Vec::new()));
+    let outcome = holder.apply_frame(delta(1, Vec::new()));
 
     assert_eq!(outcome.unwrap_err(), view::Error::NoSnapshot);
 }
@@ -134,12 +134,12 @@
 #[test]
 fn caller_is_told_the_time_of_an_election() {
     let holder = view::Holder::default();
-    holder.miss(millis(1_000), view::Absence::Unreachable);
-    let before_control = holder.wait(millis(1_000));
-    holder.miss(millis(1_500), view::Absence::Unelected);
-    holder.miss(millis(1_560), view::Absence::Unelected);
+    holder.record_failure(millis(1_000), view::Outage::Unreachable);
+    let before_control = holder.retry_after(millis(1_000));
+    holder.record_failure(millis(1_500), view::Outage::NoLeader);
+    holder.record_failure(millis(1_560), view::Outage::NoLeader);
 
-    let during_election = holder.wait(millis(1_560));
+    let during_election = holder.retry_after(millis(1_560));
 
     assert!(before_control >= duration::Span::from_millis(1_000));
     assert_eq!(during_election, duration::Span::from_millis(1_040));
@@ -150,10 +150,10 @@
 #[test]
 fn caller_of_a_lone_restart_is_told_to_come_back_soon() {
     let holder = view::Holder::default();
-    holder.miss(millis(5), view::Absence::Unreachable);
-    holder.confirm(millis(10), &confirmed(1));
+    holder.record_failure(millis(5), view::Outage::Unreachable);
+    holder.apply_confirmation(millis(10), &confirmed(1));
 
-    let wait = holder.wait(millis(10));
+    let wait = holder.retry_after(millis(10));
 
     assert_eq!(wait, duration::Span::from_millis(200));
 }
@@ -163,24 +163,27 @@
 #[test]
 fn expectation_that_has_passed_is_put_off() {
     let holder = view::Holder::default();
-    holder.miss(millis(0), view::Absence::Unelected);
+    holder.record_failure(millis(0), view::Outage::NoLeader);
 
-    holder.miss(millis(1_150), view::Absence::Unelected);
+    holder.record_failure(millis(1_150), view::Outage::NoLeader);
 
-    assert_eq!(holder.wait(millis(1_150)), duration::Span::from_millis(400));
+    assert_eq!(
+        holder.retry_after(millis(1_150)),
+        duration::Span::from_millis(400)
+    );
 }
 
 /// A view at revision 7 under a long lease, which learns after half a second that the
 /// leader is at revision 8.
 fn view_behind() -> view::Holder {
     let holder = view::Holder::default();
-    holder.take(snapshot(7)).expect("a snapshot");
+    holder.apply_frame(snapshot(7)).expect("a snapshot");
     let long = wire_view::Confirmed {
         lease: duration::Span::from_secs(10),
         ..confirmed(7)
     };
-    holder.confirm(millis(0), &long);
-    holder.confirm(millis(500), &confirmed(8));
+    holder.apply_confirmation(millis(0), &long);
+    holder.apply_confirmation(millis(500), &confirmed(8));
     holder
 }
 
@@ -199,7 +202,7 @@
 fn view_that_has_caught_up_serves_on() {
     let holder = view_behind();
 
-    holder.take(delta(8, Vec::new())).expect("in order");
+    holder.apply_frame(delta(8, Vec::new())).expect("in order");
 
     assert!(holder.current(millis(2_000)).is_some());
 }
@@ -210,16 +213,16 @@
 #[test]
 fn source_is_not_left_for_a_lag_before_its_first_frame() {
     let holder = view::Holder::default();
-    holder.confirm(millis(0), &confirmed(8));
+    holder.apply_confirmation(millis(0), &confirmed(8));
     let mut source = source::Source::new(millis(1_000));
 
-    let before = source.loss(millis(1_010), &holder);
-    holder.take(snapshot(7)).expect("a snapshot");
-    source.hear(millis(1_020));
-    let after = source.loss(millis(1_020), &holder);
+    let before = source.failure(millis(1_010), &holder);
+    holder.apply_frame(snapshot(7)).expect("a snapshot");
+    source.record_frame(millis(1_020));
+    let after = source.failure(millis(1_020), &holder);
 
     assert_eq!(before, None);
-    assert_eq!(after, Some(source::Loss::Lagging));
+    assert_eq!(after, Some(source::Failure::Lagging));
 }
 
 #[test]
@@ -227,9 +230,9 @@
     let holder = view::Holder::default();
     let source = source::Source::new(millis(0));
 
-    assert_eq!(source.loss(millis(799), &holder), None);
+    assert_eq!(source.failure(millis(799), &holder), None);
     assert_eq!(
-        source.loss(millis(800), &holder),
-        Some(source::Loss::Silent)
+        source.failure(millis(800), &holder),
+        Some(source::Failure::Silent)
     );
 }
--- a/crates/cranberrygap/src/daemon/entry.rs
+++ b/crates/cranberrygap/src/daemon/entry.rs
@@ -74,7 +74,8 @@
     let metrics = metrics::client(&settings.metrics.clone().unwrap_or_default(), &prefix)?;
     let sent = Arc::clone(&metrics);
     let dialect = form.map(Form::dialect);
-    let starting = process::Process::start_with(settings.clone(), held.clone(), metrics, dialect);
+    let starting =
+        process::Process::start_with_dialect(settings.clone(), held.clone(), metrics, dialect);
     let entry = starting.await?;
     if let Some(form) = form {
         form.listen(&settings, entry.desk())?;
--- a/crates/cranberrygap/src/local.rs
+++ b/crates/cranberrygap/src/local.rs
@@ -131,8 +131,8 @@
         let store = start_store(&page, &runtimes).await?;
         let control = start_control(&page, store.address(), &runtimes).await?;
         let entry = start_entry(&page, &runtimes).await?;
-        let engines = start_engines(&wanted, entry.endpoints(), &runtimes).await?;
-        let service = start_service(entry.endpoints(), &runtimes).await?;
+        let engines = start_engines(&wanted, entry.endpoints_address(), &runtimes).await?;
+        let service = start_service(entry.endpoints_address(), &runtimes).await?;
         let secret = key::Secret::new(draw()?);
         let local = Self {
             control,
