--- a/crates/cranberrygap-entry/src/announce.rs
+++ b/crates/cranberrygap-entry/src/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of endpoints that arrived at this entry.
+//! Endpoint announcements received by this entry.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use cranberrygap_wire::{endpoint, view};
 use parking_lot::Mutex;
 
-/// Most endpoints that are kept; an endpoint beyond is not taken. Bounds what
-/// strangers on the listener can make an entry store.
+/// Number of endpoints that are stored; announcements of others are refused. Limits the
+/// memory that unknown clients of the listener can use up.
 const MAX_ENDPOINTS: usize = 4096;
 
-/// Processes of one endpoint that are kept; the control process remembers as many.
+/// Number of processes stored per endpoint; the control process stores as many.
 const MAX_PROCESSES: usize = 8;
 
-/// Collects heartbeats and new content for the leader.
+/// Collects heartbeats and changed announcements for the leader.
 #[derive(Debug, Default)]
 pub struct Inbox {
     inner: Mutex<Inner>,
 }
 
-/// The processes of each endpoint, in the order in which they were first heard.
+/// Processes of each endpoint, in the order of their first announcements.
 ///
-/// Boots have no order: a message that was held up may arrive after one of its sender's
-/// successor. Which process lives is for the leader's state to say.
+/// Boots are not ordered, and a delayed message may arrive after one of the next process.
+/// The leader's state decides which process is alive.
 #[derive(Debug, Default)]
 struct Inner {
     processes: BTreeMap<id::Endpoint, Vec<Process>>,
@@ -31,25 +31,25 @@
 #[derive(Debug)]
 struct Process {
     latest: endpoint::Announcement,
-    /// Whether it was heard since the last batch.
+    /// Whether an announcement arrived since the last batch.
     has_new_heartbeat: bool,
-    /// Whether its content is new to the leader.
+    /// Whether the leader has not received the latest content.
     has_new_content: bool,
 }
 
-/// What the next confirmation carries.
+/// Announcements to send with the next confirmation.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Heartbeats since the last batch.
+    /// Processes that announced themselves since the last batch.
     pub seen: Vec<view::Seen>,
-    /// Announcements whose content is new.
+    /// Announcements with changed content.
     pub announcements: Vec<endpoint::Announcement>,
 }
 
-/// An announcement that was not taken.
+/// Reason to refuse an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It is older than one that arrived before.
+    /// The announcement is older than one that arrived before.
     #[error("a newer announcement of this endpoint has arrived")]
     Older,
     /// The table is full.
@@ -58,11 +58,11 @@
 }
 
 impl Inbox {
-    /// Takes an announcement.
+    /// Stores an announcement.
     ///
     /// # Errors
     ///
-    /// When it is older than one that arrived before, or the table is full.
+    /// Fails when the announcement is older than one that arrived before, or the table is full.
     pub fn accept(&self, announcement: endpoint::Announcement) -> Result<(), Error> {
         let mut inner = self.inner.lock();
         let is_known = inner.processes.contains_key(&announcement.endpoint);
@@ -81,17 +81,17 @@
         Ok(())
     }
 
-    /// Whether there is content that the leader has not heard yet.
+    /// Whether there is content that the leader has not received.
     pub fn has_new_content(&self) -> bool {
         let inner = self.inner.lock();
         inner
             .processes
             .values()
             .flatten()
-            .any(|one| one.has_new_content)
+            .any(|process| process.has_new_content)
     }
 
-    /// Takes out what the leader has not heard yet.
+    /// Returns what the leader has not received and marks it as sent.
     pub fn drain(&self) -> Batch {
         let mut inner = self.inner.lock();
         let mut batch = Batch::default();
@@ -106,7 +106,7 @@
         batch
     }
 
-    /// Puts back a batch that did not reach the leader; newer content stays.
+    /// Marks a batch that did not reach the leader as unsent; newer content is kept.
     pub fn restore(&self, batch: Batch) {
         let mut inner = self.inner.lock();
         for seen in batch.seen {
@@ -139,7 +139,7 @@
     }
 
     fn update(&mut self, announcement: endpoint::Announcement) -> Result<(), Error> {
-        // A delayed heartbeat would undo a leave that came after it.
+        // A delayed heartbeat must not undo a later announcement of leaving.
         if self.latest.sequence >= announcement.sequence {
             return Err(Error::Older);
         }
--- a/crates/cranberrygap-entry/src/control.rs
+++ b/crates/cranberrygap-entry/src/control.rs
@@ -1,4 +1,4 @@
-//! This entry's conversations with the control processes.
+//! Communication of this entry with the control processes.
 
 mod demand;
 mod heartbeat;
--- a/crates/cranberrygap-entry/src/control/demand.rs
+++ b/crates/cranberrygap-entry/src/control/demand.rs
@@ -1,4 +1,4 @@
-//! Counts what callers asked of each model since the last heartbeat.
+//! Counts the demand for each model since the last heartbeat.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 
 use crate::core;
 
-/// Requests, tokens and attainment by model.
+/// Counts of requests, tokens and attained targets by model and adapter.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     counts: Mutex<BTreeMap<id::Model, Count>>,
-    /// Requests that are under way, by adapter.
+    /// Requests in progress, by adapter.
     running: Mutex<BTreeMap<id::Model, u32>>,
 }
 
-/// One request that uses an adapter; it does so until this is dropped.
+/// Guard that counts one request as using an adapter until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Use {
     core: Arc<core::Core>,
@@ -26,7 +26,7 @@
 }
 
 impl Use {
-    /// A request for an adapter of a model begins.
+    /// Counts a request that starts to use an adapter of a model.
     pub(crate) fn new(
         core: &Arc<core::Core>,
         model: &id::Model,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The name under which the demand for an adapter is counted.
+/// Name under which the demand for an adapter is counted, as `model/adapter`.
 fn adapter_demand_name(model: &id::Model, adapter: &SmolStr) -> Option<id::Model> {
     format_smolstr!("{model}/{adapter}").parse().ok()
 }
@@ -73,10 +73,10 @@
         self.update(model, |count| count.requests += 1);
     }
 
-    /// Counts a request of a route for a model, and for its adapter if it wants one.
+    /// Counts a request of a route for a model, and for its adapter if it names one.
     ///
-    /// Its work is the time of an engine that it takes, reading alone and generating in
-    /// one place of the batch.
+    /// `work` is the engine time that the request takes: prefill without other requests,
+    /// and generation in one slot of the batch.
     pub(crate) fn record_route_request(
         &self,
         model: &id::Model,
@@ -87,24 +87,26 @@
             count.requests += 1;
             count.work += work.0;
         });
-        if let Some(named) = adapter.and_then(|adapter| adapter_demand_name(model, adapter)) {
-            self.update(&named, |count| count.requests += 1);
+        if let Some(name) = adapter.and_then(|adapter| adapter_demand_name(model, adapter)) {
+            self.update(&name, |count| count.requests += 1);
         }
     }
 
-    /// A request that was counted was refused. Its caller comes back and is counted
-    /// again, so that it counts for less than one that is served; but without any
-    /// count a model that nobody can be served with would get no copy.
+    /// Reduces the work of a counted request that was refused.
+    ///
+    /// Its caller retries and is counted again, so a refused request counts for less than
+    /// a served one. If it counted for nothing, a model without a copy would never get
+    /// one.
     pub(crate) fn record_refusal(&self, model: &id::Model, work: duration::Span) {
         const REFUSED_WORK_TENTHS: u64 = 4;
-        let over = work.0 * (10 - REFUSED_WORK_TENTHS) / 10;
+        let excess = work.0 * (10 - REFUSED_WORK_TENTHS) / 10;
         self.update(model, |count| {
-            count.work = count.work.saturating_sub(over);
+            count.work = count.work.saturating_sub(excess);
             count.refused += 1;
         });
     }
 
-    /// Counts a request that ended.
+    /// Counts a request that ended, its tokens and whether it attained its target.
     pub(crate) fn record_end(&self, model: &id::Model, tokens: u64, attained: bool) {
         self.update(model, |count| {
             count.tokens += tokens;
@@ -121,11 +123,11 @@
         change(counts.entry(model.clone()).or_default());
     }
 
-    /// Takes out the counts.
+    /// Returns the counts and resets them.
     ///
-    /// An adapter whose streams run is among them though nobody asked for it meanwhile.
-    /// A runner drops one only when its streams have ended, and takes no other order
-    /// until then: one would see it refuse all orders for seconds.
+    /// Adapters with running streams are included even without new requests, so that they
+    /// are not unloaded. A runner unloads an adapter only when its streams have ended and
+    /// refuses every other order until then, which can take seconds.
     pub(crate) fn drain(&self) -> Vec<view::Demand> {
         let mut counts = std::mem::take(&mut *self.counts.lock());
         for adapter in self.running.lock().keys() {
@@ -143,7 +145,7 @@
         counts.into_iter().map(to_wire).collect()
     }
 
-    /// Puts back counts that did not reach the leader.
+    /// Adds back counts that did not reach the leader.
     pub(crate) fn restore(&self, demands: Vec<view::Demand>) {
         for demand in demands {
             self.update(&demand.model, |count| {
--- a/crates/cranberrygap-entry/src/control/heartbeat.rs
+++ b/crates/cranberrygap-entry/src/control/heartbeat.rs
@@ -1,42 +1,42 @@
-//! Tells the leader that this entry lives and what is in force here.
+//! Sends heartbeats to the leader with the revision that this entry holds.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use cranberrygap_model::{duration, number};
 use cranberrygap_policy::leader_calls;
-use cranberrygap_wire::{method, view};
+use cranberrygap_wire::{method, view as wire_view};
 use spdlog::{info, warn};
 
 use crate::announce;
 use crate::core;
-use crate::view as held;
+use crate::view;
 
-/// Time between heartbeats. A seventh of the lease, so that several may be lost.
+/// Time between heartbeats, a seventh of the lease, so that several may be lost.
 const INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between heartbeats while the leader does not answer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Time between looks for news that should not wait for the next heartbeat.
+/// Time between checks for updates that should not wait for the next heartbeat.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait for an answer. A healthy leader answers within some ten milliseconds;
-/// one that does not has failed, and another one must be found before the lease ends.
+/// Time limit for the leader's answer. A healthy leader answers within tens of
+/// milliseconds. Otherwise another one must be found before the lease ends.
 const ANSWER_TIMEOUT: duration::Span = duration::Span::from_millis(500);
 
 /// The task that sends heartbeats.
 #[derive(Debug)]
 pub(crate) struct Heartbeat {
     core: Arc<core::Core>,
-    /// The last binding change that the leader was told is in force here.
+    /// Last binding revision that this entry has confirmed to the leader.
     confirmed_revision: number::Revision,
     is_leader_reachable: bool,
     is_view_behind: bool,
 }
 
 impl Heartbeat {
-    /// A task that has not started yet.
+    /// Creates a task that [`Self::run`] starts.
     pub(crate) fn new(core: Arc<core::Core>) -> Self {
         Self {
             core,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends heartbeats for ever.
+    /// Sends heartbeats until the task is aborted.
     pub(crate) async fn run(mut self) {
         loop {
             self.send().await;
@@ -54,38 +54,39 @@
         }
     }
 
-    /// Waits for the next period, or less when an operator waits for a revision
-    /// to be in force or an endpoint has news.
+    /// Waits until the next heartbeat is due. It is due early when an operator waits for a
+    /// revision to be confirmed or when an endpoint's announcement is new.
     async fn wait_for_next(&self) {
         let view = self.core.view.latest();
-        let gap = leader_calls::min_interval(view.map_or(0, |view| view.entries())).to_std();
+        let min_interval =
+            leader_calls::min_interval(view.map_or(0, |view| view.entries())).to_std();
         if !self.is_leader_reachable {
-            tokio::time::sleep(RETRY_INTERVAL.max(gap)).await;
+            tokio::time::sleep(RETRY_INTERVAL.max(min_interval)).await;
             return;
         }
         let started = tokio::time::Instant::now();
         while started.elapsed() < INTERVAL {
             tokio::time::sleep(POLL_INTERVAL).await;
-            if started.elapsed() >= gap && self.has_urgent_update() {
+            if started.elapsed() >= min_interval && self.has_urgent_update() {
                 return;
             }
         }
     }
 
-    /// Whether somebody waits for what this entry has to say.
+    /// Whether there is an update that should not wait for the next heartbeat.
     fn has_urgent_update(&self) -> bool {
         self.core.announcements.has_new_content()
             || self.core.view.binding_revision() != self.confirmed_revision
     }
 
-    /// Sends one heartbeat and takes the lease that comes back.
+    /// Sends one heartbeat and applies the lease in the answer.
     pub(crate) async fn send(&mut self) {
         let batch = self.core.announcements.drain();
         let demands = self.core.demand.drain();
         let binding = self.core.view.binding_revision();
         let message = self.confirmation(&batch, demands);
         let sent = self.core.now();
-        let answer: Result<view::Confirmed, cranberrygap_link::error::Error> = self
+        let answer: Result<wire_view::Confirmed, cranberrygap_link::error::Error> = self
             .core
             .leader
             .call(method::VIEW_CONFIRM, &message, ANSWER_TIMEOUT)
@@ -121,31 +122,35 @@
         self.is_leader_reachable = reached;
     }
 
-    /// Says once that the view is behind the leader, and once that it is not any more.
+    /// Logs when the view falls behind the leader and when it catches up.
     fn log_lag(&mut self) {
-        let standing = self.core.view.status();
-        let behind = standing.behind_since.is_some();
+        let status = self.core.view.status();
+        let behind = status.behind_since.is_some();
         if behind && !self.is_view_behind {
-            warn!("view: is behind: {standing}");
+            warn!("view: is behind: {status}");
         }
         if !behind && self.is_view_behind {
-            info!("view: caught up: {standing}");
+            info!("view: caught up: {status}");
         }
         self.is_view_behind = behind;
     }
 
-    fn confirmation(&self, batch: &announce::Batch, demands: Vec<view::Demand>) -> view::Confirm {
+    fn confirmation(
+        &self,
+        batch: &announce::Batch,
+        demands: Vec<wire_view::Demand>,
+    ) -> wire_view::Confirm {
         let core = &self.core;
-        // An entry that has just started, or was cut off, has no lease yet and
-        // refuses everybody. Named in the address answers already then, it would
-        // get callers that another entry could serve.
+        // An entry that has just started or was partitioned has no lease and refuses
+        // every request. If it were listed in the address answers, it would get callers
+        // that another entry could serve.
         let serves = core.view.current(core.now()).is_some();
         let phase = if serves && !core.is_draining() {
-            view::Phase::Active
+            wire_view::Phase::Active
         } else {
-            view::Phase::Draining
+            wire_view::Phase::Draining
         };
-        view::Confirm {
+        wire_view::Confirm {
             instance: core.instance().clone(),
             boot: core.boot,
             domain: core.settings.entry.domain.clone(),
@@ -161,10 +166,10 @@
     }
 }
 
-/// What a failed call says of the control instances.
-fn failure_cause(cause: &cranberrygap_link::error::Error) -> held::Outage {
+/// Classifies a failed call: a refusal proves that a control instance answers.
+fn failure_cause(cause: &cranberrygap_link::error::Error) -> view::Outage {
     match cause {
-        cranberrygap_link::error::Error::Refused { .. } => held::Outage::NoLeader,
-        _ => held::Outage::Unreachable,
+        cranberrygap_link::error::Error::Refused { .. } => view::Outage::NoLeader,
+        _ => view::Outage::Unreachable,
     }
 }
--- a/crates/cranberrygap-entry/src/control/peers.rs
+++ b/crates/cranberrygap-entry/src/control/peers.rs
@@ -1,12 +1,12 @@
-//! Where control processes are, by the settings and by the view.
+//! Addresses of control processes, from the settings and from the view.
 
 use cranberrygap_model::address;
 use parking_lot::RwLock;
 
-/// Control processes that may be asked.
+/// Control processes that this entry may contact.
 ///
-/// The settings name the first ones. Those may all be replaced while this process
-/// runs, or the settings may change; the view tells who belongs to the group now.
+/// The settings name the initial ones. All of them may be replaced while this process
+/// runs, and the settings may change; the view lists the current members of the group.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     configured: RwLock<Vec<address::Peer>>,
@@ -14,41 +14,41 @@
 }
 
 impl Peers {
-    pub(crate) fn new(told: Vec<address::Peer>) -> Self {
+    pub(crate) fn new(configured: Vec<address::Peer>) -> Self {
         Self {
-            configured: RwLock::new(told),
+            configured: RwLock::new(configured),
             members: RwLock::default(),
         }
     }
 
-    /// Takes over changed settings.
-    pub(crate) fn set_configured(&self, told: Vec<address::Peer>) {
-        *self.configured.write() = told;
+    /// Replaces the peers from the settings.
+    pub(crate) fn set_configured(&self, configured: Vec<address::Peer>) {
+        *self.configured.write() = configured;
     }
 
-    /// Takes over who belongs to the group.
-    pub(crate) fn set_members(&self, seen: Vec<address::Peer>) {
-        if *self.members.read() != seen {
-            *self.members.write() = seen;
+    /// Replaces the peers from the view.
+    pub(crate) fn set_members(&self, members: Vec<address::Peer>) {
+        if *self.members.read() != members {
+            *self.members.write() = members;
         }
     }
 
-    /// All that may be asked, each once.
+    /// All peers without duplicates, those from the settings first.
     pub(crate) fn list(&self) -> Vec<address::Peer> {
         let mut all = self.configured.read().clone();
         for peer in self.members.read().iter() {
-            if !all.iter().any(|known| known.instance == peer.instance) {
+            if !all.iter().any(|other| other.instance == peer.instance) {
                 all.push(peer.clone());
             }
         }
         all
     }
 
-    /// Where this process reaches a control process: by its own settings, or else
-    /// as the control processes reach it.
+    /// Address of a control process: the one in this entry's settings if there is one,
+    /// otherwise the one that the control processes use among themselves.
     pub(crate) fn address_of(&self, peer: &address::Peer) -> address::Socket {
-        let told = self.configured.read();
-        let known = told.iter().find(|known| known.instance == peer.instance);
-        known.unwrap_or(peer).address
+        let configured = self.configured.read();
+        let own = configured.iter().find(|own| own.instance == peer.instance);
+        own.unwrap_or(peer).address
     }
 }
--- a/crates/cranberrygap-entry/src/control/session.rs
+++ b/crates/cranberrygap-entry/src/control/session.rs
@@ -1,4 +1,4 @@
-//! Calls to the control leader, wherever it is.
+//! Calls to the control leader, with discovery of the current leader.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 
 use super::peers;
 
-/// Processes asked for the leader before a call gives up. One round over seven
-/// control processes and one more for a leader that changed meanwhile.
+/// Attempts per call to reach the leader: one for each of seven control processes and one
+/// more for a leader that changed meanwhile.
 const MAX_HOPS: usize = 8;
 
-/// Time for which a process that did not answer is not asked again on the word of
-/// another one; an election takes about a second.
+/// Time during which redirections to a process that did not answer are ignored. An
+/// election takes about a second.
 const AVOIDANCE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Keeps one connection to the process that was leader last.
+/// Connection to the last known leader.
 #[derive(Debug)]
 pub(crate) struct Session {
     peers: Arc<peers::Peers>,
@@ -34,14 +34,14 @@
     target: Option<address::Socket>,
     client: Option<Arc<client::Client>>,
     position: usize,
-    /// A process that did not answer, and when.
+    /// Last process that did not answer, and the time of that failure.
     avoided: Option<(address::Socket, Instant)>,
-    /// Where the client is connected.
+    /// Address that the client is connected to.
     connected_to: Option<address::Socket>,
 }
 
 impl Session {
-    /// A session that will find the leader among `peers`.
+    /// Creates a session that searches for the leader among `peers`.
     pub(crate) fn new(peers: Arc<peers::Peers>, secret: Arc<credential::Holder>) -> Self {
         Self {
             peers,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Calls the leader; follows redirections and tries other processes while it
-    /// is certain that the call has not run.
+    /// Calls the leader. Follows redirections and tries other processes as long as the
+    /// call is known not to have run.
     ///
     /// # Errors
     ///
-    /// The last error; `not_sent` or a refusal prove that the call did not run.
+    /// Returns the last error; `not_sent` or a refusal prove that the call did not run.
     pub(crate) async fn call<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
@@ -77,9 +77,9 @@
             match client.call(method, params, deadline).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
-                    let again = self.handle_error(&client, &error);
+                    let may_retry = self.handle_error(&client, &error);
                     last = error;
-                    if !again {
+                    if !may_retry {
                         break;
                     }
                 }
@@ -88,7 +88,7 @@
         Err(last)
     }
 
-    /// Chooses where to go after `error`; true when the call surely did not run.
+    /// Selects the next target after `error`; true when the call is known not to have run.
     fn handle_error(
         &self,
         failed: &Arc<client::Client>,
@@ -117,10 +117,10 @@
         }
     }
 
-    /// Whether a process did not answer a moment ago.
+    /// Whether a process recently did not answer.
     ///
-    /// The others take a leader that stands still for the leader until they elect
-    /// another one, and send whoever asks back to it.
+    /// Until the next election, the other processes still redirect callers to a leader
+    /// that hangs.
     fn is_avoided(&self, target: address::Socket) -> bool {
         let inner = self.inner.lock();
         inner
@@ -132,7 +132,7 @@
         if let Some(client) = self.open_client() {
             return Ok(client);
         }
-        // One task connects; the others wait and then use its connection.
+        // One task connects; the others wait and reuse its connection.
         let _guard = self.connecting.lock().await;
         if let Some(client) = self.open_client() {
             return Ok(client);
@@ -171,7 +171,7 @@
         inner.client = None;
     }
 
-    /// The process that is to be asked next cannot be reached.
+    /// Records that the current target is unreachable.
     fn avoid_target(&self) {
         let target = self.target();
         self.inner.lock().avoided = target.map(|target| (target, Instant::now()));
@@ -189,7 +189,7 @@
         let is_held = inner
             .client
             .as_ref()
-            .is_some_and(|held| Arc::ptr_eq(held, failed));
+            .is_some_and(|current| Arc::ptr_eq(current, failed));
         if is_held {
             inner.client = None;
             inner.avoided = inner.connected_to.take().map(|at| (at, Instant::now()));
--- a/crates/cranberrygap-entry/src/control/subscription.rs
+++ b/crates/cranberrygap-entry/src/control/subscription.rs
@@ -1,4 +1,4 @@
-//! Keeps the view current over a subscription to any control process.
+//! Keeps the view current through a subscription to any control process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::core;
 use crate::view::source;
 
-/// Time between two looks at a source that sends nothing. Without one, a lag would be
-/// noticed only with the next frame, which a source that stands still never sends.
+/// Time between checks of a source that sends nothing. Otherwise a lag would be noticed
+/// only with the next frame, which a source that hangs never sends.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The task that follows the view.
+/// Task that receives the view's frames.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     core: Arc<core::Core>,
@@ -23,12 +23,12 @@
 }
 
 impl Subscription {
-    /// A task that has not started yet.
+    /// Creates a task that [`Self::run`] starts.
     pub(crate) fn new(core: Arc<core::Core>, secret: Arc<credential::Holder>) -> Self {
         Self { core, secret }
     }
 
-    /// Follows the view for ever, from one control process or another.
+    /// Receives frames until the task is aborted, and changes the source when it fails.
     pub(crate) async fn run(self) {
         let mut next = usize::try_from(self.core.boot.0).unwrap_or_default();
         loop {
@@ -46,26 +46,25 @@
     async fn follow(&self, peer: &address::Peer) -> Result<(), cranberrygap_link::error::Error> {
         let role = credential::Role::Fleet;
         let client = client::Client::connect(peer.address, role, &self.secret.shown()).await?;
-        let wanted = wire_view::Subscribe {
+        let request = wire_view::Subscribe {
             instance: self.core.instance().clone(),
             boot: self.core.boot,
             revision: self.core.view.revision(),
         };
         let mut frames = client
-            .subscribe::<_, wire_view::Frame>(method::VIEW_SUBSCRIBE, &wanted)
+            .subscribe::<_, wire_view::Frame>(method::VIEW_SUBSCRIBE, &request)
             .await?;
         info!(
             "view: follows {} from revision {}",
-            peer.instance, wanted.revision
+            peer.instance, request.revision
         );
         self.core.view.set_source(peer.instance.clone());
         let mut source = source::Source::new(self.core.now());
         loop {
-            // A connection that something between the ends has forgotten stays open
-            // and silent. The view would grow stale without any error; the missing
-            // heartbeat shows it.
-            if let Some(loss) = source.failure(self.core.now(), &self.core.view) {
-                warn!("view: leaves {}: {loss}", peer.instance);
+            // A connection that a device on the path has dropped stays open without any
+            // error, and the view would become stale. The missing heartbeats reveal it.
+            if let Some(failure) = source.failure(self.core.now(), &self.core.view) {
+                warn!("view: leaves {}: {failure}", peer.instance);
                 return Ok(());
             }
             let next = tokio::time::timeout(CHECK_INTERVAL, frames.next()).await;
@@ -77,7 +76,7 @@
             };
             source.record_frame(self.core.now());
             if let Err(cause) = self.core.view.apply_frame(frame?) {
-                warn!("view: starts anew: {cause}");
+                warn!("view: restarts the subscription: {cause}");
                 return Ok(());
             }
             self.apply_view();
--- a/crates/cranberrygap-entry/src/core.rs
+++ b/crates/cranberrygap-entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What all parts of an entry share.
+//! State shared by all parts of an entry.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,7 +23,7 @@
 use crate::upstream;
 use crate::view;
 
-/// The shared parts of one entry process.
+/// Shared state of one entry process.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) settings: settings::Entry,
@@ -33,24 +33,24 @@
     pub(crate) peers: Arc<control::Peers>,
     pub(crate) leader: control::Session,
     pub(crate) limiter: Arc<dyn admission::Limiter>,
-    /// Where other entries borrow tokens from this one.
+    /// Address for loan requests of other entries, if this entry lends.
     pub(crate) lending_address: Option<address::Socket>,
     pub(crate) router: Arc<dyn route::Router>,
     /// Endpoints of the traffic plan's services.
     pub(crate) endpoints: gateway::Endpoints,
     pub(crate) upstream: upstream::Clients,
-    /// Requests that wait for a place at the engines.
+    /// Requests that wait for a slot at the engines.
     pub(crate) queues: Arc<queue::Queues>,
-    /// Retries that may still be made.
+    /// Budget of retries.
     pub(crate) retry_budget: Mutex<retry::Budget>,
-    /// What runs on which endpoint, and who is suspected to crash them.
+    /// Requests in progress by endpoint, and requests suspected to crash endpoints.
     pub(crate) suspects: Mutex<suspects::Tracker>,
     pub(crate) announcements: announce::Inbox,
     pub(crate) demand: control::Demand,
     pub(crate) metrics: Arc<StatsdClient>,
     pub(crate) trace: trace::Trace,
     pub(crate) draining: AtomicBool,
-    /// True once a planned stop takes nothing new.
+    /// True once a planned stop accepts no new requests.
     pub(crate) closing: watch_channel::Sender<bool>,
 }
 
@@ -59,7 +59,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::NoLease`] when the lease is out, with entries to ask instead.
+    /// Returns [`Refusal::NoLease`] with the other entries' addresses when the view must
+    /// not be used.
     pub(crate) fn serving_view(&self) -> Result<Arc<view::Snapshot>, Refusal> {
         let current = self.view.current(self.clock.now());
         current.ok_or_else(|| Refusal::NoLease {
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Callers' addresses of the other entries, as far as this one knows.
+    /// Addresses at which the other entries of the latest view accept callers.
     pub(crate) fn other_entries(&self) -> Vec<address::Socket> {
         let latest = self.view.latest();
         latest
@@ -80,7 +81,7 @@
         &self.settings.entry.instance
     }
 
-    /// The address that callers are told.
+    /// Address that is published to callers.
     pub(crate) fn advertised_address(&self) -> address::Socket {
         self.settings
             .listen
@@ -88,15 +89,15 @@
             .unwrap_or(self.settings.listen.callers)
     }
 
-    /// Longest time of a planned stop.
+    /// Time limit of a planned stop.
     pub(crate) fn stop_within(&self) -> duration::Span {
-        const WITHOUT_A_SETTING: duration::Span = duration::Span::from_secs(20);
+        const DEFAULT: duration::Span = duration::Span::from_secs(20);
         let limits = self.settings.limits.as_ref();
-        limits.map_or(WITHOUT_A_SETTING, |limits| limits.stop_within)
+        limits.map_or(DEFAULT, |limits| limits.stop_within)
     }
 
-    /// Counts something by one tag. A metric that cannot be sent is lost; requests do
-    /// not wait for metrics.
+    /// Increments a counter with one tag. A metric that cannot be sent is dropped, so that
+    /// requests do not wait for metrics.
     pub(crate) fn count(&self, name: &'static str, tag: &str) {
         self.metrics
             .count_with_tags(name, 1)
@@ -104,19 +105,19 @@
             .send();
     }
 
-    /// Notes a length of time.
+    /// Records a duration metric. One that cannot be sent is dropped.
     pub(crate) fn record_time(&self, name: &'static str, span: duration::Span) {
         let _lost = self.metrics.time(name, span.to_std());
     }
 
-    /// Comes when a planned stop takes nothing new.
+    /// Waits until a planned stop accepts no new requests.
     ///
-    /// What has not been sent to an endpoint by then is refused. It may wait for tokens or
-    /// an engine for longer than the process has, and would end with a closed connection:
-    /// its caller would not know whether it ran.
+    /// Requests that have not been sent to an endpoint by then are refused. They may wait
+    /// for tokens or an engine for longer than the process runs, and a closed connection
+    /// would leave their callers not knowing whether they ran.
     pub(crate) async fn wait_for_closing(&self) {
         let mut closing = self.closing.subscribe();
-        // The sender lives as long as this.
+        // The sender lives as long as `self`, so the channel never closes.
         let _never_closed = closing.wait_for(|closing| *closing).await;
     }
 
@@ -125,16 +126,16 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// The time now.
+    /// Current time of the process's clock.
     pub(crate) fn now(&self) -> duration::Instant {
         self.clock.now()
     }
 
-    /// Refuses a request that crashed endpoints, until its time is over.
+    /// Refuses a request that is quarantined because it crashed endpoints.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Quarantined`] with the time that is left.
+    /// Returns [`Refusal::Quarantined`] with the remaining time.
     pub(crate) fn check_quarantine(
         view: &view::Snapshot,
         fingerprint: &str,
--- a/crates/cranberrygap-entry/src/load.rs
+++ b/crates/cranberrygap-entry/src/load.rs
@@ -1,4 +1,4 @@
-//! Asks runners for their load.
+//! Polls runners for their load reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,34 +12,33 @@
 use crate::core;
 use crate::route;
 
-/// Time between rounds. Reports lag anyway, so that asking more often would
-/// bring little that is new.
+/// Time between polling rounds. Reports lag anyway, so shorter intervals would add little.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for one report.
+/// Time limit for one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Runners that are asked at the same time.
+/// Number of concurrent report requests.
 const MAX_PARALLEL_REQUESTS: usize = 16;
 
-/// Bytes of reports in one period. An entry may spend 10 KB a second on control
-/// in a fleet of 600 runners; reports of all of them twice a second would take
-/// 560 KB. So an entry asks the runners that it uses, and one other at a time.
+/// Bytes of reports per round. An entry may use 10 KB/s for control traffic in a fleet of
+/// 600 runners; reports of all of them twice a second would take 560 KB. An entry
+/// therefore polls the runners that it uses, and at least one other per round.
 const ROUND_BUDGET_BYTES: u64 = 3_000;
 
-/// Bytes of the heads of a question and its answer.
+/// Bytes of the HTTP headers of a report request and its response.
 const HEADER_BYTES: u64 = 250;
 
-/// Size that a report is taken to have before the first came.
+/// Assumed size in bytes of a report before the first one arrives.
 const INITIAL_REPORT_BYTES: u64 = 750;
 
-/// Weight of the latest report in the mean size, as one part in so many.
-const MEAN_WEIGHT: u64 = 8;
+/// Divisor of the moving mean of report sizes: the latest report weighs `1 / MEAN_DIVISOR`.
+const MEAN_DIVISOR: u64 = 8;
 
-/// Runners that are asked in any case.
+/// Minimum number of runners per round, whatever the budget.
 const MIN_RUNNERS: u64 = 2;
 
-/// The task that asks for load.
+/// Task that polls the runners.
 #[derive(Debug)]
 pub(crate) struct Poller {
     core: Arc<core::Core>,
@@ -48,22 +47,22 @@
     mean_report_bytes: u64,
 }
 
-/// What was asked of one runner.
+/// State of polling one runner.
 #[derive(Debug, Clone, Copy, Default)]
 struct Poll {
     last_sequence: number::Sequence,
-    /// Round in which it was asked last.
+    /// Round in which the runner was last polled.
     last_round: u64,
 }
 
-/// A report and the bytes that it took.
+/// Load report and its size.
 struct Response {
     report: endpoint::Report,
     size: u64,
 }
 
 impl Poller {
-    /// A task that has not started yet.
+    /// Creates a task that [`Self::run`] starts.
     pub(crate) fn new(core: Arc<core::Core>) -> Self {
         Self {
             core,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Asks for ever.
+    /// Polls until the task is aborted.
     pub(crate) async fn run(mut self) {
         loop {
             self.run_round().await;
@@ -87,64 +86,65 @@
         self.polls
             .retain(|name, _| runners.iter().any(|runner| runner.endpoint == *name));
         let chosen = self.select_runners(runners);
-        let asks: Vec<_> = chosen.iter().map(|runner| self.fetch(runner)).collect();
-        let mut answers = stream::iter(asks).buffer_unordered(MAX_PARALLEL_REQUESTS);
-        while let Some(answer) = answers.next().await {
-            if let Some(answer) = answer {
-                self.apply_response(&answer);
+        let requests: Vec<_> = chosen.iter().map(|runner| self.fetch(runner)).collect();
+        let mut responses = stream::iter(requests).buffer_unordered(MAX_PARALLEL_REQUESTS);
+        while let Some(response) = responses.next().await {
+            if let Some(response) = response {
+                self.apply_response(&response);
             }
         }
     }
 
-    /// The runners of this round: those that were not asked for longest, the used
-    /// ones before the others, and one of the others in any case.
+    /// Selects the runners of this round: recently used ones first, each group by the time
+    /// since the last poll, and at least one that was not recently used.
     fn select_runners(&self, mut runners: Vec<route::Runner>) -> Vec<route::Runner> {
         let count = (ROUND_BUDGET_BYTES / self.mean_report_bytes.max(1)).max(MIN_RUNNERS);
         let count = usize::try_from(count).unwrap_or(usize::MAX);
-        let asked = |runner: &route::Runner| self.polls.get(&runner.endpoint).map(|k| k.last_round);
-        runners.sort_by_key(|runner| (!runner.recently_used, asked(runner)));
+        let last_round =
+            |runner: &route::Runner| self.polls.get(&runner.endpoint).map(|poll| poll.last_round);
+        runners.sort_by_key(|runner| (!runner.recently_used, last_round(runner)));
         let used = runners.iter().filter(|runner| runner.recently_used).count();
         let mut others = runners.split_off(used.min(runners.len()));
-        let room = count.saturating_sub(runners.len()).max(1);
-        others.truncate(room);
+        let remaining = count.saturating_sub(runners.len()).max(1);
+        others.truncate(remaining);
         runners.truncate(count.saturating_sub(others.len()).max(1));
         runners.append(&mut others);
         runners
     }
 
     fn fetch(&mut self, runner: &route::Runner) -> impl Future<Output = Option<Response>> + use<> {
-        let known = self.polls.entry(runner.endpoint.clone()).or_default();
-        known.last_round = self.round_number;
-        fetch_report(Arc::clone(&self.core), runner.address, known.last_sequence)
+        let poll = self.polls.entry(runner.endpoint.clone()).or_default();
+        poll.last_round = self.round_number;
+        fetch_report(Arc::clone(&self.core), runner.address, poll.last_sequence)
     }
 
-    fn apply_response(&mut self, answer: &Response) {
+    fn apply_response(&mut self, response: &Response) {
         self.mean_report_bytes =
-            (self.mean_report_bytes * (MEAN_WEIGHT - 1) + answer.size) / MEAN_WEIGHT;
+            (self.mean_report_bytes * (MEAN_DIVISOR - 1) + response.size) / MEAN_DIVISOR;
         self.core
             .router
-            .apply_report(self.core.now(), &answer.report);
-        if let Some(known) = self.polls.get_mut(&answer.report.endpoint) {
-            known.last_sequence = answer.report.sequence;
+            .apply_report(self.core.now(), &response.report);
+        if let Some(poll) = self.polls.get_mut(&response.report.endpoint) {
+            poll.last_sequence = response.report.sequence;
         }
     }
 }
 
-/// Asks one runner; no answer is no report.
+/// Fetches the report of one runner, `None` if the request fails.
 async fn fetch_report(
     core: Arc<core::Core>,
     address: address::Socket,
     since: number::Sequence,
 ) -> Option<Response> {
     let url = format!("http://{address}/report?since={since}");
-    let asking = core
+    let request = core
         .upstream
         .pooled()
         .get(url)
         .timeout(REPORT_TIMEOUT)
         .send();
-    let answer = asking.await.ok()?.error_for_status().ok()?;
-    let bytes = answer.bytes().await.ok()?;
+    let response = request.await.ok()?.error_for_status().ok()?;
+    let bytes = response.bytes().await.ok()?;
     let report = serde_json::from_slice(&bytes).ok()?;
     let size = bytes.len() as u64 + HEADER_BYTES;
     Some(Response { report, size })
--- a/crates/cranberrygap-entry/src/process.rs
+++ b/crates/cranberrygap-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! A whole entry: start, dump, planned stop.
+//! Start, reload, dump and planned stop of an entry process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -30,24 +30,24 @@
 use crate::upstream;
 use crate::view;
 
-/// Connections without a setting; the schema's default is the same.
+/// Limit of caller connections without a setting; equals the schema's default.
 const DEFAULT_CONNECTIONS: u32 = 4096;
 
-/// Connections of endpoints; each keeps one.
+/// Limit of endpoint connections; each endpoint keeps one.
 const ENDPOINT_CONNECTIONS: usize = 4096;
 
-/// Secrets that an entry needs, already read.
+/// Values of the secrets that an entry uses.
 #[derive(Debug, Clone)]
 pub struct Secrets {
-    /// Shared by the system's processes.
+    /// Secret shared by the processes of the fleet.
     pub fleet: credential::Secret,
-    /// Tokens of operators; without one only this process's signals give a dump.
+    /// Tokens of operators. Without any, only a signal to the process gives a dump.
     pub operators: Vec<credential::Secret>,
-    /// Token that endpoints show when they announce themselves.
+    /// Token that endpoints present with their announcements.
     pub endpoint: Option<String>,
 }
 
-/// Why an entry did not start.
+/// Error at the start of an entry.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener could not be opened.
@@ -55,9 +55,9 @@
         "cannot listen on {address}: {cause}\nhelp: is the address of this instance, and free?"
     )]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: address::Socket,
-        /// Why.
+        /// Cause of the failure.
         cause: String,
     },
     /// The HTTP client could not be set up.
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// When a listener cannot be opened.
+    /// Fails when a listener cannot be opened or the HTTP client cannot be set up.
     pub async fn start(
         settings: settings::Entry,
         secrets: Secrets,
@@ -99,11 +99,11 @@
         Self::start_with_dialect(settings, secrets, metrics, None).await
     }
 
-    /// Starts an entry that serves the routes of the traffic plan in this form.
+    /// Starts an entry that serves the routes of the traffic plan in the given dialect.
     ///
     /// # Errors
     ///
-    /// When a listener cannot be opened.
+    /// Fails when a listener cannot be opened or the HTTP client cannot be set up.
     pub async fn start_with_dialect(
         mut settings: settings::Entry,
         secrets: Secrets,
@@ -132,7 +132,7 @@
             tokio::spawn(Arc::clone(&shares).run(Arc::clone(&core))),
         ];
         if gateway.is_none() {
-            // Endpoints of a traffic plan are known by what is sent to them.
+            // The load of a traffic plan's endpoints is estimated from the requests sent.
             tasks.push(tokio::spawn(load::Poller::new(Arc::clone(&core)).run()));
         }
         tasks.extend(gossip.map(|gossip| tokio::spawn(gossip.run())));
@@ -160,44 +160,44 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address at which callers connect.
     #[must_use]
     pub fn callers(&self) -> address::Socket {
         self.callers.address
     }
 
-    /// Where endpoints announce themselves.
+    /// Address at which endpoints announce themselves.
     #[must_use]
     pub fn endpoints_address(&self) -> address::Socket {
         self.endpoints.address
     }
 
-    /// Where callers of the traffic plan's routes connect, if they may.
+    /// Address at which callers of the traffic plan's routes connect, if they can.
     #[must_use]
     pub fn gateway_address(&self) -> Option<address::Socket> {
         self.gateway.as_ref().map(|gateway| gateway.address)
     }
 
-    /// Parts of the entry for other listeners of the same process.
+    /// Access to the entry for other listeners of the same process.
     #[must_use]
     pub fn desk(&self) -> desk::Desk {
         desk::Desk::new(Arc::clone(&self.core))
     }
 
-    /// Takes over changed settings, as far as they can change while it runs.
+    /// Applies the settings that can change while the entry runs: the control processes.
     pub fn reload(&self, settings: &settings::Entry) {
         let mut control = settings.control.clone();
         apply_control_port(&mut control);
         self.core.peers.set_configured(control.peers);
     }
 
-    /// Whether the entry has a view and a lease to serve from it.
+    /// Whether the entry has a view with a valid lease.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.core.view.current(self.core.now()).is_some()
     }
 
-    /// Changes the secrets while the entry runs.
+    /// Replaces the secrets while the entry runs.
     pub fn replace_secrets(&self, secrets: &Secrets) {
         self.fleet.replace(secrets.fleet.clone());
         if let Some(admin) = &self.admin {
@@ -206,34 +206,34 @@
         }
     }
 
-    /// The whole state as JSON, without secrets.
+    /// The entry's state as JSON, without secrets.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
         dump(&self.core)
     }
 
-    /// Stops without cutting a request: leaves the address list, waits until no
-    /// caller holds an answer that names this entry, then finishes what runs.
+    /// Stops gracefully: leaves the address list, waits until callers no longer hold an
+    /// answer that names this entry, then finishes the requests in progress.
     pub async fn stop(self) {
-        let begun = time::Instant::now();
+        let stop_started = time::Instant::now();
         self.core.draining.store(true, Ordering::Release);
         info!("entry: drains");
-        let last_beat = tokio::spawn({
+        let last_heartbeat = tokio::spawn({
             let core = Arc::clone(&self.core);
             async move { control::Heartbeat::new(core).send().await }
         });
         match &self.gateway {
-            Some(gateway) => self.drain_gateway(gateway, begun).await,
+            Some(gateway) => self.drain_gateway(gateway, stop_started).await,
             None => self.wait_for_callers().await,
         }
-        last_beat.abort();
+        last_heartbeat.abort();
         self.callers.stop().await;
         self.endpoints.stop().await;
         for task in &self.tasks {
             task.abort();
         }
         let closing = self.shares.return_all(&self.core);
-        // Tokens that are not handed back count as spent, which harms nobody long.
+        // Tokens that are not returned count as spent, which only matters for a short time.
         drop(time::timeout(CLEANUP_TIMEOUT, closing).await);
         drop(self.admin);
         info!("entry: stopped");
@@ -249,26 +249,25 @@
         time::sleep(STALE_VIEW_TIME.to_std()).await;
     }
 
-    /// Serves on while most callers still hold an answer that names this entry, then
-    /// takes nothing new and finishes what runs.
+    /// Keeps serving while most callers hold an answer that names this entry, then accepts
+    /// no new requests and finishes those in progress.
     ///
-    /// A stream may last as long as the whole stop. Taken late, it would be cut at
-    /// the stop's end; its caller does better to go to another entry at once, which
-    /// it does when this one takes no more connections. So the few callers that keep
-    /// answers for longer are not waited for.
-    async fn drain_gateway(&self, gateway: &gateway::Listener, begun: time::Instant) {
+    /// A stream may last as long as the whole stop, so one accepted late would be cut off
+    /// at its end. A caller that cannot connect goes to another entry at once. The few
+    /// callers that hold answers for longer are therefore not waited for.
+    async fn drain_gateway(&self, gateway: &gateway::Listener, stop_started: time::Instant) {
         let lifetime = self.desk().lifetime().to_std();
         let longest = self.core.stop_within().to_std();
-        let longest = longest.saturating_sub(CLEANUP_TIMEOUT + DRAIN_MARGIN);
+        let longest = longest.saturating_sub(CLEANUP_TIMEOUT + DRAIN_POLL_INTERVAL);
         let serving = (lifetime + CLEANUP_TIMEOUT).min(longest / 2);
-        time::sleep_until(begun + serving).await;
+        time::sleep_until(stop_started + serving).await;
         self.core.closing.send_replace(true);
-        gateway.finish(begun + longest).await;
+        gateway.finish(stop_started + longest).await;
     }
 }
 
-/// Puts the group's own port into the addresses of the control processes, where
-/// only their public ones are told.
+/// Replaces the ports of the control processes' addresses by the group's own port, when
+/// the settings give one because the addresses are the public ones.
 fn apply_control_port(control: &mut settings::EntryControl) {
     let port = u16::try_from(control.port).unwrap_or_default();
     if port != 0 {
@@ -282,42 +281,42 @@
     core: &Arc<core::Core>,
     dialect: Option<Arc<dyn dialect::Dialect>>,
 ) -> Result<Option<gateway::Listener>, Error> {
-    let (Some(wanted), Some(dialect)) = (core.settings.listen.gateway, dialect) else {
+    let (Some(address), Some(dialect)) = (core.settings.listen.gateway, dialect) else {
         return Ok(None);
     };
     let gateway = gateway::Gateway::new(Arc::clone(core), dialect);
-    let listening = gateway::Listener::start(&gateway, wanted);
+    let listening = gateway::Listener::start(&gateway, address);
     listening
         .map(Some)
-        .map_err(|cause| cannot_listen(wanted, &cause))
+        .map_err(|cause| cannot_listen(address, &cause))
 }
 
 async fn listen_gossip(core: &Arc<core::Core>) -> Result<Option<gateway::Gossip>, Error> {
-    let Some(wanted) = core.settings.listen.gossip else {
+    let Some(address) = core.settings.listen.gossip else {
         return Ok(None);
     };
-    let gossip = gateway::Gossip::new(Arc::clone(core), wanted).await;
+    let gossip = gateway::Gossip::new(Arc::clone(core), address).await;
     gossip
         .map(Some)
-        .map_err(|cause| cannot_listen(wanted, &cause))
+        .map_err(|cause| cannot_listen(address, &cause))
 }
 
-/// Opens the socket at which other entries borrow, where the settings name one.
+/// Opens the socket for loan requests of other entries, if the settings name one.
 async fn listen_lending(
     settings: &settings::Entry,
 ) -> Result<Option<(UdpSocket, address::Socket)>, Error> {
-    let Some(wanted) = settings.listen.lending else {
+    let Some(address) = settings.listen.lending else {
         return Ok(None);
     };
     let opened = async {
-        let socket = UdpSocket::bind(wanted.0).await?;
-        let address = socket.local_addr()?;
-        Ok::<_, std::io::Error>((socket, address::Socket(address)))
+        let socket = UdpSocket::bind(address.0).await?;
+        let local_address = socket.local_addr()?;
+        Ok::<_, std::io::Error>((socket, address::Socket(local_address)))
     };
     let opened = opened.await;
     opened
         .map(Some)
-        .map_err(|cause| cannot_listen(wanted, &cause))
+        .map_err(|cause| cannot_listen(address, &cause))
 }
 
 fn build_core(
@@ -354,34 +353,35 @@
     })
 }
 
-/// Share of retries until the configuration is known; it is the default there.
+/// Share of retries until the configuration is known; equals the configuration's default.
 const INITIAL_RETRY_SHARE: f64 = 0.1;
 
-/// Time after which no entry still names one that drains: an entry whose view is
-/// older than its lease answers nobody.
+/// Time after which no other entry still names a draining one: an entry whose view is
+/// older than its lease answers no caller.
 const STALE_VIEW_TIME: duration::Span = duration::Span::from_secs(2);
 
-/// Time for what is left to do once all requests have ended.
+/// Time limit for the cleanup after all requests have ended.
 const CLEANUP_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two looks whether callers are gone.
-const DRAIN_MARGIN: Duration = Duration::from_millis(100);
-/// Boots stay below 2^53, so that every JSON reader keeps them exactly.
+/// Time between checks whether callers have disconnected.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Bits that a random boot is shifted by, so that it stays below 2^53 and every JSON
+/// parser reads it exactly.
 const BOOT_SHIFT: u32 = 11;
 
 fn listen_callers(core: &Arc<core::Core>) -> Result<server::Listener, Error> {
-    let wanted = core.settings.listen.callers;
+    let address = core.settings.listen.callers;
     let limits = core.settings.limits.as_ref();
     let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.connections);
     let router = server::callers_router(core);
-    let listening = server::Listener::start(wanted, router, connections as usize);
-    listening.map_err(|cause| cannot_listen(wanted, &cause))
+    let listening = server::Listener::start(address, router, connections as usize);
+    listening.map_err(|cause| cannot_listen(address, &cause))
 }
 
 fn listen_endpoints(core: &Arc<core::Core>, secrets: &Secrets) -> Result<server::Listener, Error> {
-    let wanted = core.settings.listen.endpoints;
+    let address = core.settings.listen.endpoints;
     let router = server::endpoints_router(core, secrets.endpoint.clone());
-    let listening = server::Listener::start(wanted, router, ENDPOINT_CONNECTIONS);
-    listening.map_err(|cause| cannot_listen(wanted, &cause))
+    let listening = server::Listener::start(address, router, ENDPOINT_CONNECTIONS);
+    listening.map_err(|cause| cannot_listen(address, &cause))
 }
 
 async fn listen_admin(
@@ -391,11 +391,11 @@
     if secrets.operators.is_empty() {
         return Ok(None);
     }
-    let wanted = core.settings.listen.admin;
-    let started = admin::start(core, wanted, secrets.operators.clone()).await;
+    let address = core.settings.listen.admin;
+    let started = admin::start(core, address, secrets.operators.clone()).await;
     started
         .map(Some)
-        .map_err(|cause| cannot_listen(wanted, &cause))
+        .map_err(|cause| cannot_listen(address, &cause))
 }
 
 fn cannot_listen(address: address::Socket, cause: &dyn std::fmt::Display) -> Error {
--- a/crates/cranberrygap-entry/src/queue.rs
+++ b/crates/cranberrygap-entry/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at this entry for a place at a model's engines.
+//! Queues of requests that wait for a slot at a model's engines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-/// Queues kept although nobody waits or runs there; the rest is forgotten.
-const MAX_IDLE_QUEUES: usize = 1_024;
+/// Number of queues at which those without waiting or running requests are removed.
+const CLEANUP_THRESHOLD: usize = 1_024;
 
 /// The queues of one entry, one for each model.
 #[derive(Debug)]
@@ -28,36 +28,36 @@
     last_ticket: u64,
 }
 
-/// Either a place or the time after which one may be free.
+/// A granted slot, or the time after which to retry.
 type Decision = Result<(), duration::Span>;
 
-/// What a request needs to be queued.
+/// Request for a slot at a model's engines.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The model.
+    /// Model that serves the request.
     pub model: id::Model,
-    /// Whose request it is.
+    /// Workspace that sent the request.
     pub workspace: id::Workspace,
-    /// Share of the engines relative to other workspaces.
+    /// Weight of the workspace relative to others.
     pub weight: f64,
-    /// Tokens that it may cost.
+    /// Maximum cost in tokens.
     pub cost: token::Count,
-    /// Longest wait.
+    /// Maximum time in the queue.
     pub max_wait: duration::Span,
-    /// Requests that this entry may have at the model's engines together.
+    /// Number of requests that this entry may run at the model's engines at once.
     pub capacity: usize,
-    /// Requests that may wait for the model.
+    /// Number of requests that may wait for the model.
     pub max_waiting: usize,
 }
 
-/// A place at a model's engines, free again when dropped.
+/// Slot at a model's engines, released when dropped.
 #[derive(Debug)]
 pub struct Slot {
     queues: Arc<Queues>,
     model: id::Model,
 }
 
-/// A ticket in a queue; given up when the caller leaves.
+/// Position in a queue, removed from it when dropped.
 struct Ticket<'queues> {
     queues: &'queues Queues,
     model: &'queues id::Model,
@@ -67,19 +67,19 @@
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        let mut lines = self.queues.by_model.lock();
-        let Some(line) = lines.get_mut(self.model) else {
+        let mut by_model = self.queues.by_model.lock();
+        let Some(model_queue) = by_model.get_mut(self.model) else {
             return;
         };
-        if line.waiters.remove(&self.number).is_some() {
-            line.queue.remove(self.number);
+        if model_queue.waiters.remove(&self.number).is_some() {
+            model_queue.queue.remove(self.number);
             return;
         }
-        // The place was given just when the caller left. Kept, it would be lost for
-        // ever, and with enough of them the model would serve nobody.
+        // The slot was granted while the caller disconnected. It must be released, or
+        // leaked slots would add up until the model could serve no request.
         if let Ok(Ok(())) = self.decision.try_recv() {
-            line.running -= 1;
-            line.grant_slots(self.queues.clock.now());
+            model_queue.running -= 1;
+            model_queue.grant_slots(self.queues.clock.now());
         }
     }
 }
@@ -91,7 +91,7 @@
 }
 
 impl Queues {
-    /// No queues yet.
+    /// Creates an empty set of queues.
     #[must_use]
     pub fn new(clock: clock::Clock) -> Self {
         Self {
@@ -100,94 +100,94 @@
         }
     }
 
-    /// Waits for a place.
+    /// Waits for a slot.
     ///
     /// # Errors
     ///
-    /// The time after which the same request may fare better, as soon as it is
-    /// clear that it will not be served in time.
-    pub async fn acquire(self: &Arc<Self>, wish: &Request) -> Result<Slot, duration::Span> {
-        let place = || Slot {
+    /// Returns the time after which to retry, as soon as the queue knows that it cannot
+    /// serve the request in time.
+    pub async fn acquire(self: &Arc<Self>, request: &Request) -> Result<Slot, duration::Span> {
+        let slot = || Slot {
             queues: Arc::clone(self),
-            model: wish.model.clone(),
+            model: request.model.clone(),
         };
-        let (number, decided) = match self.enqueue(wish) {
-            Enqueued::Admitted => return Ok(place()),
+        let (number, decision) = match self.enqueue(request) {
+            Enqueued::Admitted => return Ok(slot()),
             Enqueued::Rejected(wait) => return Err(wait),
-            Enqueued::Waiting(number, decided) => (number, decided),
+            Enqueued::Waiting(number, decision) => (number, decision),
         };
         let mut ticket = Ticket {
             queues: self,
-            model: &wish.model,
+            model: &request.model,
             number,
-            decision: decided,
+            decision,
         };
-        let patience = wish.max_wait.to_std();
-        match tokio::time::timeout(patience, &mut ticket.decision).await {
-            Ok(Ok(decision)) => decision.map(|()| place()),
-            Ok(Err(_)) | Err(_) => Err(wish.max_wait),
+        let max_wait = request.max_wait.to_std();
+        match tokio::time::timeout(max_wait, &mut ticket.decision).await {
+            Ok(Ok(decision)) => decision.map(|()| slot()),
+            Ok(Err(_)) | Err(_) => Err(request.max_wait),
         }
     }
 
-    fn enqueue(&self, wish: &Request) -> Enqueued {
+    fn enqueue(&self, request: &Request) -> Enqueued {
         let now = self.clock.now();
-        let mut lines = self.by_model.lock();
-        if lines.len() >= MAX_IDLE_QUEUES {
-            lines.retain(|_, line| line.running > 0 || !line.queue.is_empty());
+        let mut by_model = self.by_model.lock();
+        if by_model.len() >= CLEANUP_THRESHOLD {
+            by_model.retain(|_, model| model.running > 0 || !model.queue.is_empty());
         }
-        let line = lines
-            .entry(wish.model.clone())
+        let model_queue = by_model
+            .entry(request.model.clone())
             .or_insert_with(ModelQueue::new);
-        line.capacity = wish.capacity;
-        line.queue.set_capacity(wish.max_waiting);
-        line.last_ticket += 1;
-        let number = line.last_ticket;
-        let request = fairness::Request {
+        model_queue.capacity = request.capacity;
+        model_queue.queue.set_capacity(request.max_waiting);
+        model_queue.last_ticket += 1;
+        let number = model_queue.last_ticket;
+        let queued = fairness::Request {
             ticket: number,
-            workspace: wish.workspace.clone(),
-            weight: wish.weight,
-            cost: wish.cost,
-            deadline: now.after(wish.max_wait),
+            workspace: request.workspace.clone(),
+            weight: request.weight,
+            cost: request.cost,
+            deadline: now.after(request.max_wait),
         };
-        let (sender, decided) = oneshot::channel();
-        if let Some(refused) = line.queue.push(now, request) {
+        let (sender, decision) = oneshot::channel();
+        if let Some(refused) = model_queue.queue.push(now, queued) {
             if refused.ticket == number {
                 return Enqueued::Rejected(refused.retry_after);
             }
-            if let Some(waiter) = line.waiters.remove(&refused.ticket) {
-                // Whoever has left meanwhile needs no answer.
-                let _gone = waiter.send(Err(refused.retry_after));
+            if let Some(waiter) = model_queue.waiters.remove(&refused.ticket) {
+                // A waiter that has left needs no answer.
+                let _left = waiter.send(Err(refused.retry_after));
             }
         }
-        line.waiters.insert(number, sender);
-        line.grant_slots(now);
-        if line.waiters.contains_key(&number) {
-            return Enqueued::Waiting(number, decided);
+        model_queue.waiters.insert(number, sender);
+        model_queue.grant_slots(now);
+        if model_queue.waiters.contains_key(&number) {
+            return Enqueued::Waiting(number, decision);
         }
         Enqueued::Admitted
     }
 
     fn release(&self, model: &id::Model) {
         let now = self.clock.now();
-        let mut lines = self.by_model.lock();
-        if let Some(line) = lines.get_mut(model) {
-            line.running -= 1;
-            line.grant_slots(now);
+        let mut by_model = self.by_model.lock();
+        if let Some(model_queue) = by_model.get_mut(model) {
+            model_queue.running -= 1;
+            model_queue.grant_slots(now);
         }
     }
 
-    /// The whole state, for a dump.
+    /// State of the queues with running requests, for a dump.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
-        let lines = self.by_model.lock();
-        let busy = lines.iter().filter(|(_, line)| line.running > 0);
-        let shown = busy.map(|(model, line)| {
+        let by_model = self.by_model.lock();
+        let running = by_model.iter().filter(|(_, model)| model.running > 0);
+        let states = running.map(|(name, model)| {
             let state = serde_json::json!({
-                "running": line.running, "capacity": line.capacity, "queue": line.queue.dump(),
+                "running": model.running, "capacity": model.capacity, "queue": model.queue.dump(),
             });
-            (model.to_string(), state)
+            (name.to_string(), state)
         });
-        shown.collect::<serde_json::Map<_, _>>().into()
+        states.collect::<serde_json::Map<_, _>>().into()
     }
 }
 
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Gives free places to whoever is next.
+    /// Grants free slots to the next waiting requests.
     fn grant_slots(&mut self, now: duration::Instant) {
         while self.running < self.capacity {
             let Some(request) = self.queue.pop(now) else {
--- a/crates/cranberrygap-entry/src/server.rs
+++ b/crates/cranberrygap-entry/src/server.rs
@@ -19,7 +19,7 @@
 
 pub(crate) use announcements::Announcements;
 
-/// A listener that serves.
+/// A running HTTP listener.
 pub(crate) struct Listener {
     pub address: address::Socket,
     handle: ServerHandle,
@@ -27,13 +27,13 @@
 }
 
 impl Listener {
-    /// Serves `router` at `wanted`, at most `connections` at a time.
+    /// Serves `router` at `address` with at most `connections` at once.
     pub(crate) fn start(
-        wanted: address::Socket,
+        address: address::Socket,
         router: Router,
         connections: usize,
     ) -> std::io::Result<Self> {
-        let acceptor = TcpAcceptor::try_from(socket::listen(wanted.0)?)?;
+        let acceptor = TcpAcceptor::try_from(socket::listen(address.0)?)?;
         let address = address::Socket(acceptor.local_addr()?);
         let server = Server::new(acceptor).max_connections(connections);
         let handle = server.handle();
@@ -45,14 +45,14 @@
         })
     }
 
-    /// Takes no new connections and waits until all requests have ended.
+    /// Accepts no new connections and waits until all requests have ended.
     pub(crate) async fn stop(self) {
         self.handle.stop_graceful(None);
         drop(self.task.await);
     }
 }
 
-/// The callers' paths.
+/// Routes of the callers' listener.
 pub(crate) fn callers_router(core: &Arc<core::Core>) -> Router {
     let chat = caller::generate::Generate {
         core: Arc::clone(core),
@@ -85,7 +85,7 @@
         .push(Router::with_path("{**rest}").goal(concurrency::NotFound))
 }
 
-/// The endpoints' paths.
+/// Routes of the endpoints' listener.
 pub(crate) fn endpoints_router(core: &Arc<core::Core>, token: Option<String>) -> Router {
     let announcements = Announcements {
         core: Arc::clone(core),
@@ -94,7 +94,7 @@
     Router::with_path("announce").post(announcements)
 }
 
-/// Reads a body up to the bound in the settings.
+/// Reads a body up to the size limit in the settings.
 pub(crate) async fn read_body(
     request: &mut Request,
     core: &Arc<core::Core>,
@@ -112,5 +112,5 @@
     }
 }
 
-/// Largest body without a setting; the schema's default is the same.
+/// Maximum body size without a setting; equals the schema's default.
 const DEFAULT_MAX_BODY_BYTES: u64 = 1 << 20;
--- a/crates/cranberrygap-entry/src/server/announcements.rs
+++ b/crates/cranberrygap-entry/src/server/announcements.rs
@@ -1,4 +1,4 @@
-//! `POST /announce`: endpoints say that they exist.
+//! `POST /announce`: announcements of endpoints.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 
 use crate::core;
 
-/// Time until an endpoint's next announcement.
+/// Time between an endpoint's announcements.
 const HEARTBEAT_INTERVAL: duration::Span = duration::Span::from_secs(1);
 
-/// Largest announcement, in bytes; one with thousands of adapters fits.
+/// Maximum size of an announcement in bytes; one with thousands of adapters fits.
 const MAX_ANNOUNCEMENT_BYTES: usize = 256 * 1024;
 
-/// Takes announcements.
+/// Handler for announcements.
 #[derive(Debug)]
 pub(crate) struct Announcements {
     pub core: Arc<core::Core>,
-    /// Token that endpoints must show, when there is one.
+    /// Token that endpoints must present, if one is configured.
     pub token: Option<String>,
 }
 
@@ -52,18 +52,19 @@
         let Some(token) = &self.token else {
             return true;
         };
-        let shown = request.headers().get(header::AUTHORIZATION);
-        let shown = shown.and_then(|value| value.to_str().ok());
-        let shown = shown
+        let presented = request.headers().get(header::AUTHORIZATION);
+        let presented = presented.and_then(|value| value.to_str().ok());
+        let presented = presented
             .and_then(|text| text.strip_prefix("Bearer "))
             .unwrap_or_default();
-        // Hashes are compared in place of the texts, so that the time it takes
-        // tells nothing about the token.
-        blake3::hash(shown.as_bytes()) == blake3::hash(token.as_bytes())
+        // Hashes are compared instead of the tokens, so that the duration of the comparison
+        // reveals nothing about the token.
+        blake3::hash(presented.as_bytes()) == blake3::hash(token.as_bytes())
     }
 
     fn accept(&self, announcement: endpoint::Announcement, response: &mut Response) {
-        // A leave is acted on here at once; the others learn it through the log.
+        // This entry stops using a leaving endpoint at once; other entries learn of it
+        // through the replicated log.
         if announcement.phase == endpoint::Phase::Leaving {
             self.core.router.mark_leaving(&announcement.endpoint);
             let about = note::About::default().at(&announcement.endpoint);
@@ -82,7 +83,7 @@
         crate::caller::write_json(response, serde_json::json!(welcome).to_string());
     }
 
-    /// This entry's listener first, then those of the others.
+    /// Listeners of all active entries: this entry's first, unless it is draining.
     fn listener_addresses(&self) -> Vec<address::Socket> {
         let own = self.core.settings.listen.endpoints;
         let view = self.core.view.latest();
--- a/crates/cranberrygap-entry/src/server/concurrency.rs
+++ b/crates/cranberrygap-entry/src/server/concurrency.rs
@@ -1,4 +1,4 @@
-//! Bounds on the requests in progress.
+//! Limit on the requests in progress.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 use crate::metric;
 use crate::refusal::Refusal;
 
-/// Requests in progress without a setting; the schema's default is the same.
+/// Limit of requests in progress without a setting; equals the schema's default.
 const DEFAULT_REQUESTS: u32 = 2048;
 
-/// Refuses at once when too many requests are in progress.
+/// Middleware that refuses requests beyond the limit without queueing them.
 #[derive(Debug)]
 pub(crate) struct Limit {
     slots: Arc<Semaphore>,
@@ -22,7 +22,7 @@
 }
 
 impl Limit {
-    /// A bound from the settings.
+    /// Creates a limit from the settings.
     pub(crate) fn new(core: &Arc<core::Core>) -> Self {
         let limits = core.settings.limits.as_ref();
         let requests = limits.map_or(DEFAULT_REQUESTS, |limits| limits.requests);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Answers paths that do not exist.
+/// Handler for unknown paths.
 #[derive(Debug)]
 pub(crate) struct NotFound;
 
--- a/crates/cranberrygap-entry/src/view.rs
+++ b/crates/cranberrygap-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the replicated state, and until when it may use it.
+//! The entry's copy of the replicated state and the lease under which it is used.
 
 mod recovery;
 mod snapshot;
@@ -16,7 +16,7 @@
 pub use snapshot::Snapshot;
 pub use status::Status;
 
-/// The view and the lease under which it may be used.
+/// Holds the current view and its lease.
 #[derive(Debug, Default)]
 pub struct Holder {
     inner: RwLock<Inner>,
@@ -26,47 +26,49 @@
 struct Inner {
     snapshot: Option<Arc<Snapshot>>,
     lease_end: duration::Instant,
-    /// Revision that the leader had committed when it last answered.
+    /// Highest revision that the leader reported as committed.
     committed: number::Revision,
-    /// Since when it is known that the leader had committed more than is held here.
+    /// Time since which the held revision is known to be older than the committed one.
     behind_since: Option<duration::Instant>,
-    /// Control process that the view is followed from.
+    /// Control process that sends the view's frames.
     source: Option<id::Instance>,
-    /// When the view was last known to be all that the leader had committed.
+    /// Last time at which the view was known to hold all that the leader had committed.
     last_current_at: duration::Instant,
     recovery: recovery::Estimate,
 }
 
-/// Time for which an entry serves on once it knows that its view is behind.
+/// Time for which an entry keeps serving from a view that is known to be behind.
 ///
-/// It may learn of that half a second late, with its next heartbeat, and a change must be
-/// in force two seconds after it was accepted. Without this bound one saw an entry whose
-/// source hung refuse a key 2.6 s after it was issued, under a lease of the time before.
+/// The entry learns of the lag up to half a second late, with its next heartbeat, and a
+/// change must be in force two seconds after it was accepted. Without this limit, an entry
+/// whose source hung refused a key 2.6 s after it was issued, because its earlier lease
+/// was still valid.
 const MAX_LAG: duration::Span = duration::Span::from_millis(1_000);
 
-/// A frame that does not follow what was seen.
+/// Error for a frame that is out of order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A delta came before any snapshot.
+    /// A delta arrived before any snapshot.
     #[error("a delta came before a snapshot")]
     NoSnapshot,
-    /// The frame is older than what this entry has in force.
+    /// The frame is older than the revision that this entry holds.
     #[error("revision {offered} is older than {held}")]
     Older {
         /// Revision of the frame.
         offered: number::Revision,
-        /// Revision that is in force here.
+        /// Revision that this entry holds.
         held: number::Revision,
     },
 }
 
 impl Holder {
-    /// The newest snapshot, whether or not the lease runs.
+    /// The newest snapshot, even if the lease has expired.
     pub fn latest(&self) -> Option<Arc<Snapshot>> {
         self.inner.read().snapshot.clone()
     }
 
-    /// The snapshot to serve from, `None` when the lease is out.
+    /// The snapshot to serve from, `None` when the lease has expired or the view has been
+    /// behind for too long.
     pub fn current(&self, now: duration::Instant) -> Option<Arc<Snapshot>> {
         let inner = self.inner.read();
         if now >= inner.lease_end || inner.is_behind(now, MAX_LAG) {
@@ -75,12 +77,12 @@
         inner.snapshot.clone()
     }
 
-    /// Whether the view has been behind what the leader had committed for `span`.
+    /// Whether the view has been behind the leader for at least `span`.
     pub fn is_behind(&self, now: duration::Instant, span: duration::Span) -> bool {
         self.inner.read().is_behind(now, span)
     }
 
-    /// The revision in force here, 0 before the first snapshot.
+    /// The revision that this entry holds, 0 before the first snapshot.
     pub fn revision(&self) -> number::Revision {
         self.inner
             .read()
@@ -89,31 +91,34 @@
             .map_or_else(number::Revision::default, |s| s.revision())
     }
 
-    /// The revision of the last change that the leader waits for, 0 before the first
-    /// snapshot.
+    /// Revision of the last change that the leader waits for this entry to confirm, 0
+    /// before the first snapshot.
     pub fn binding_revision(&self) -> number::Revision {
         let inner = self.inner.read();
-        let held = inner.snapshot.as_ref();
-        held.map_or_else(number::Revision::default, |held| held.binding_revision())
+        let snapshot = inner.snapshot.as_ref();
+        snapshot.map_or_else(number::Revision::default, |snapshot| {
+            snapshot.binding_revision()
+        })
     }
 
-    /// Notes from which control process frames come from now on.
+    /// Sets the control process that sends the next frames.
     pub fn set_source(&self, source: id::Instance) {
         self.inner.write().source = Some(source);
     }
 
-    /// Time at `now` since the view was last known to be the newest.
+    /// Time from when the view was last known to be current until `now`.
     pub fn age(&self, now: duration::Instant) -> duration::Span {
         now.since(self.inner.read().last_current_at)
     }
 
-    /// Where the view stands, for the log.
+    /// Summary of the view's state for the log.
     pub fn status(&self) -> Status {
         let inner = self.inner.read();
-        let held = inner.snapshot.as_ref();
+        let snapshot = inner.snapshot.as_ref();
         Status {
             source: inner.source.clone(),
-            revision: held.map_or_else(number::Revision::default, |held| held.revision()),
+            revision: snapshot
+                .map_or_else(number::Revision::default, |snapshot| snapshot.revision()),
             committed: inner.committed,
             behind_since: inner.behind_since,
             lease_end: inner.lease_end,
@@ -125,21 +130,21 @@
         self.inner.read().lease_end
     }
 
-    /// Notes at `now` that the leader did not answer.
-    pub fn record_failure(&self, now: duration::Instant, absence: Outage) {
-        self.inner.write().recovery.record_failure(now, absence);
+    /// Records that the leader gave no answer at `now`.
+    pub fn record_failure(&self, now: duration::Instant, outage: Outage) {
+        self.inner.write().recovery.record_failure(now, outage);
     }
 
-    /// Time after which a caller that cannot be served at `now` should come back.
+    /// Time after which a caller that cannot be served at `now` should retry.
     pub fn retry_after(&self, now: duration::Instant) -> duration::Span {
         self.inner.read().recovery.retry_after(now)
     }
 
-    /// Takes a frame of the subscription.
+    /// Applies a frame of the subscription.
     ///
     /// # Errors
     ///
-    /// A frame out of order; the subscription must then start anew.
+    /// Fails when the frame is out of order; the subscription must then be restarted.
     pub fn apply_frame(&self, frame: view::Frame) -> Result<(), Error> {
         let mut inner = self.inner.write();
         let held = inner.snapshot.as_ref().map(|snapshot| snapshot.revision());
@@ -162,13 +167,12 @@
         Ok(())
     }
 
-    /// Takes the leader's answer to a confirmation that was sent at `sent`.
+    /// Applies the leader's answer to a confirmation that was sent at `sent`.
     ///
-    /// The lease is counted from sending, so that it ends here before the leader
-    /// may think it over. It is not renewed while this entry lags behind what the
-    /// leader had committed at the answer before: an entry whose subscription
-    /// hangs at an old revision, while its heartbeats reach the leader, would
-    /// otherwise go on accepting a key that was withdrawn.
+    /// The lease starts at the time of sending, so that it expires here before the leader
+    /// considers it expired. It is not renewed while this entry is behind the revision of
+    /// the previous answer: an entry whose subscription hangs at an old revision, while
+    /// its heartbeats reach the leader, would otherwise keep accepting a withdrawn key.
     pub fn apply_confirmation(&self, sent: duration::Instant, confirmed: &view::Confirmed) {
         let mut inner = self.inner.write();
         inner.recovery.record_answer();
--- a/crates/cranberrygap-entry/src/view/snapshot.rs
+++ b/crates/cranberrygap-entry/src/view/snapshot.rs
@@ -1,4 +1,4 @@
-//! The view at one revision with the indexes that requests need.
+//! The view at one revision, indexed for request handling.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 
 use super::traffic;
 
-/// The view at one revision. It never changes; the next revision is a new one.
+/// Immutable view at one revision.
 ///
-/// Parts are shared between revisions, so that a change copies only its part.
+/// Revisions share unchanged parts, so that a change copies only the part it affects.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     revision: number::Revision,
-    /// Revision of the last change that this entry has to confirm at once.
+    /// Revision of the last change that this entry must confirm at once.
     binding_revision: number::Revision,
     configuration: Arc<configuration::Configuration>,
     catalogue: Arc<BTreeMap<id::Model, endpoint::Weights>>,
@@ -43,7 +43,9 @@
             members: Arc::new(index_by(state.members, |member| member.instance.clone())),
             quarantines: Arc::new(index_by(state.quarantines, |q| q.fingerprint.clone())),
             workspaces: Arc::new(state.workspaces),
-            residencies: Arc::new(index_by(state.residencies, |told| told.endpoint.clone())),
+            residencies: Arc::new(index_by(state.residencies, |residency| {
+                residency.endpoint.clone()
+            })),
             lenders: Arc::new(index_lenders(state.lenders)),
             traffic: state
                 .traffic
@@ -125,7 +127,7 @@
         self.revision
     }
 
-    /// The revision of the last change that the leader waits for.
+    /// Revision of the last change that the leader waits for this entry to confirm.
     #[must_use]
     pub fn binding_revision(&self) -> number::Revision {
         self.binding_revision
@@ -137,7 +139,7 @@
         &self.configuration.defaults
     }
 
-    /// The exception for a workspace, model or service, if there is one.
+    /// The exception from the defaults for a workspace, model or service, if there is one.
     #[must_use]
     pub fn exception(
         &self,
@@ -172,7 +174,7 @@
         &self.endpoints
     }
 
-    /// The refusal of a request that crashed endpoints, if there is one.
+    /// The quarantine of requests with this fingerprint, if there is one.
     #[must_use]
     pub fn quarantine(&self, fingerprint: &str) -> Option<&view::Quarantine> {
         self.quarantines.get(fingerprint)
@@ -190,13 +192,13 @@
         self.traffic.as_ref()
     }
 
-    /// What the leader says of endpoints' memory beyond what they announce.
+    /// Residency of endpoints as the leader publishes it, in addition to announcements.
     #[must_use]
     pub fn residencies(&self) -> &Arc<BTreeMap<id::Endpoint, view::Residency>> {
         &self.residencies
     }
 
-    /// Control processes that belong to the group.
+    /// Control processes that have not left the group.
     pub fn control_members(&self) -> impl Iterator<Item = &view::Member> {
         let members = self.members.values();
         members.filter(|m| m.role == view::Role::Control && m.phase != view::Phase::Left)
@@ -210,13 +212,13 @@
         entries.filter(|m| m.phase != view::Phase::Left).count()
     }
 
-    /// Entries that take callers.
+    /// Entries that accept callers.
     pub fn active_entries(&self) -> impl Iterator<Item = &view::Member> {
         let members = self.members.values();
         members.filter(|m| m.role == view::Role::Entry && m.phase == view::Phase::Active)
     }
 
-    /// Callers' addresses of other entries that take callers.
+    /// Addresses at which other active entries accept callers.
     #[must_use]
     pub fn other_entry_addresses(&self, own: &id::Instance) -> Vec<address::Socket> {
         let others = self
@@ -225,19 +227,19 @@
         others.map(|member| member.address).collect()
     }
 
-    /// Entries that lend a workspace's tokens in place of the leader.
+    /// Entry that lends tokens in place of the leader, by workspace.
     #[must_use]
     pub fn lenders(&self) -> &BTreeMap<id::Workspace, id::Instance> {
         &self.lenders
     }
 
-    /// The members by name.
+    /// All members by name.
     #[must_use]
     pub fn members(&self) -> &BTreeMap<id::Instance, view::Member> {
         &self.members
     }
 
-    /// The view without hashes of keys, for a dump.
+    /// The view as JSON for a dump, without the hashes of keys.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
         let keys: Vec<&id::Key> = self.keys.values().map(|key| &key.key).collect();
@@ -260,9 +262,9 @@
 }
 
 fn index_lenders(listed: Vec<view::Lender>) -> BTreeMap<id::Workspace, id::Instance> {
-    let chosen = listed.into_iter();
-    let chosen = chosen.filter_map(|lender| Some((lender.workspace, lender.instance?)));
-    chosen.collect()
+    let lenders = listed.into_iter();
+    let lenders = lenders.filter_map(|lender| Some((lender.workspace, lender.instance?)));
+    lenders.collect()
 }
 
 fn index_catalogue(listed: Vec<endpoint::Weights>) -> BTreeMap<id::Model, endpoint::Weights> {
--- a/crates/cranberrygap-entry/src/view/source.rs
+++ b/crates/cranberrygap-entry/src/view/source.rs
@@ -1,4 +1,4 @@
-//! When an entry leaves the control process that its view comes from.
+//! Detects when the control process that sends the view must be replaced.
 
 use std::fmt;
 
@@ -6,47 +6,47 @@
 
 use super::Holder;
 
-/// Silence after which another control process is asked. Control processes send
-/// a heartbeat each quarter of a second, so this is three missed ones.
+/// Time without a frame after which the entry subscribes to another control process.
+/// Control processes send a heartbeat every 250 ms, so three were missed by then.
 pub const SILENCE_TIMEOUT: duration::Span = duration::Span::from_millis(800);
 
-/// Time behind the leader after which another control process is asked. One that was cut
-/// off from the others goes on sending heartbeats, and the view would stay as it is; news
-/// take some milliseconds otherwise.
+/// Time behind the leader after which the entry subscribes to another control process. A
+/// control process that is partitioned from the others keeps sending heartbeats, but no
+/// changes. Changes normally arrive within a few milliseconds.
 pub const LAG_TIMEOUT: duration::Span = duration::Span::from_millis(300);
 
-/// Pause before the next process is asked, so that a fleet without control is
-/// not asked in a tight loop.
+/// Delay before the next subscription attempt, so that an entry does not retry in a tight
+/// loop while no control process is reachable.
 pub const RECONNECT_DELAY: duration::Span = duration::Span::from_millis(100);
 
-/// Why a source is left.
+/// Reason to replace a source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing came from it for [`SILENCE`].
+    /// The source sent no frame for [`SILENCE_TIMEOUT`].
     Silent,
-    /// The view has been behind the leader for [`LAGGING`].
+    /// The view has been behind the leader for [`LAG_TIMEOUT`].
     Lagging,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Silent => "it is silent",
+            Self::Silent => "it sent no frame in time",
             Self::Lagging => "it lags behind the leader",
         })
     }
 }
 
-/// The control process that a view is followed from.
+/// State of the subscription to one control process.
 #[derive(Debug, Clone, Copy)]
 pub struct Source {
     last_frame_at: duration::Instant,
-    /// Whether it has sent anything yet.
+    /// Whether the source has sent a frame yet.
     has_sent_frame: bool,
 }
 
 impl Source {
-    /// A source that is followed from `now` on.
+    /// Creates a source whose subscription starts at `now`.
     #[must_use]
     pub const fn new(now: duration::Instant) -> Self {
         Self {
@@ -55,16 +55,16 @@
         }
     }
 
-    /// A frame came at `now`.
+    /// Records that a frame arrived at `now`.
     pub const fn record_frame(&mut self, now: duration::Instant) {
         self.last_frame_at = now;
         self.has_sent_frame = true;
     }
 
-    /// Why it is to be left at `now`, if it is.
+    /// Returns the reason to replace the source at `now`, if there is one.
     ///
-    /// A source is not to blame for a lag before its first frame. Left for it, each would be
-    /// asked and left in turn, and an entry that starts would never get a view.
+    /// A lag before the first frame is not the source's fault. If it counted, a starting
+    /// entry would leave each source in turn and never get a view.
     #[must_use]
     pub fn failure(&self, now: duration::Instant, holder: &Holder) -> Option<Failure> {
         if now.since(self.last_frame_at) >= SILENCE_TIMEOUT {
--- a/crates/cranberrygap-entry/src/view/status.rs
+++ b/crates/cranberrygap-entry/src/view/status.rs
@@ -1,19 +1,19 @@
-//! Where an entry's view stands, for people.
+//! Human-readable status of an entry's view.
 
 use std::fmt;
 
 use cranberrygap_model::{duration, id, number};
 
-/// The view's source and revision, and what the leader was known to have.
+/// The view's source, revision and lease, and the revision that the leader reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The control process that the view is followed from.
+    /// Control process that sends the view.
     pub source: Option<id::Instance>,
-    /// Revision in force here.
+    /// Revision that this entry holds.
     pub revision: number::Revision,
-    /// Revision that the leader had when it last answered.
+    /// Highest revision that the leader reported as committed.
     pub committed: number::Revision,
-    /// Since when it is known that the leader had more.
+    /// Time since which the held revision is known to be older than the committed one.
     pub behind_since: Option<duration::Instant>,
     /// End of the lease.
     pub lease_end: duration::Instant,
--- a/crates/cranberrygap-entry/src/view/traffic.rs
+++ b/crates/cranberrygap-entry/src/view/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic plan with the indexes that requests need.
+//! The traffic plan, indexed for request handling.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use cranberrygap_wire::traffic;
 use smol_str::SmolStr;
 
-/// A plan, indexed by host, service and key.
+/// Traffic plan, indexed by host, service and key.
 #[derive(Debug, Clone)]
 pub struct Table {
     plan: traffic::Plan,
@@ -21,18 +21,18 @@
     #[must_use]
     pub fn new(plan: traffic::Plan) -> Self {
         let mut hosts: BTreeMap<SmolStr, Vec<usize>> = BTreeMap::new();
-        for (at, route) in plan.routes.iter().enumerate() {
-            hosts.entry(route.host.clone()).or_default().push(at);
+        for (index, route) in plan.routes.iter().enumerate() {
+            hosts.entry(route.host.clone()).or_default().push(index);
         }
         for routes in hosts.values_mut() {
-            routes.sort_by_key(|at| std::cmp::Reverse(plan.routes[*at].prefix.len()));
+            routes.sort_by_key(|index| std::cmp::Reverse(plan.routes[*index].prefix.len()));
         }
         let services = plan.services.iter().enumerate();
-        let services = services.map(|(at, service)| (service.service.clone(), at));
+        let services = services.map(|(index, service)| (service.service.clone(), index));
         let workspaces = plan.workspaces.iter().enumerate();
-        let keys = workspaces.flat_map(|(at, workspace)| {
+        let keys = workspaces.flat_map(|(index, workspace)| {
             let keys = workspace.keys.iter();
-            keys.map(move |key| (key.clone(), at))
+            keys.map(move |key| (key.clone(), index))
         });
         Self {
             hosts,
@@ -48,34 +48,38 @@
         &self.plan
     }
 
-    /// The route of a host with the longest prefix that begins `path`.
+    /// The host's route with the longest prefix that matches `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&traffic::Route> {
         let routes = self.hosts.get(host)?;
-        let routes = routes.iter().map(|at| &self.plan.routes[*at]);
-        let mut fitting = routes.filter(|route| path.starts_with(route.prefix.as_str()));
-        fitting.next()
+        let routes = routes.iter().map(|index| &self.plan.routes[*index]);
+        let mut matching = routes.filter(|route| path.starts_with(route.prefix.as_str()));
+        matching.next()
     }
 
     /// A service by name.
     #[must_use]
     pub fn service(&self, name: &id::Service) -> Option<&traffic::Service> {
-        self.services.get(name).map(|at| &self.plan.services[*at])
+        self.services
+            .get(name)
+            .map(|index| &self.plan.services[*index])
     }
 
     /// The workspace to which the key with this hash belongs.
     #[must_use]
     pub fn workspace(&self, hash: &str) -> Option<&traffic::Workspace> {
-        self.keys.get(hash).map(|at| &self.plan.workspaces[*at])
+        self.keys
+            .get(hash)
+            .map(|index| &self.plan.workspaces[*index])
     }
 
-    /// Whether callers must show a key.
+    /// Whether the plan has workspaces, so that callers must present a key.
     #[must_use]
     pub fn has_workspaces(&self) -> bool {
         !self.plan.workspaces.is_empty()
     }
 
-    /// A model that the engines of a service can hold.
+    /// A model that the engines of a service can load.
     #[must_use]
     pub fn model(&self, service: &id::Service, model: &id::Model) -> Option<&traffic::Model> {
         let engine = self.service(service)?.engine.as_ref()?;
