--- a/crates/cranberrygap-entry/src/control/heartbeat.rs
+++ b/crates/cranberrygap-entry/src/control/heartbeat.rs
@@ -144,8 +144,8 @@
         // An entry that has just started or was partitioned has no lease and refuses
         // every request. If it were listed in the address answers, it would get callers
         // that another entry could serve.
-        let serves = core.view.current(core.now()).is_some();
-        let phase = if serves && !core.is_draining() {
+        let is_serving = core.view.current(core.now()).is_some();
+        let phase = if is_serving && !core.is_draining() {
             wire_view::Phase::Active
         } else {
             wire_view::Phase::Draining
--- a/crates/cranberrygap-entry/src/control/session.rs
+++ b/crates/cranberrygap-entry/src/control/session.rs
@@ -33,7 +33,7 @@
 struct Inner {
     target: Option<address::Socket>,
     client: Option<Arc<client::Client>>,
-    position: usize,
+    next_peer: usize,
     /// Last process that did not answer, and the time of that failure.
     avoided: Option<(address::Socket, Instant)>,
     /// Address that the client is connected to.
@@ -63,14 +63,14 @@
         params: &P,
         deadline: duration::Span,
     ) -> Result<R, cranberrygap_link::error::Error> {
-        let mut last = unreachable();
+        let mut last_error = unreachable_error();
         for _hop in 0..MAX_HOPS {
-            let client = match self.connect().await {
+            let client = match self.connected_client().await {
                 Ok(client) => client,
                 Err(error) => {
-                    self.avoid_target();
+                    self.mark_target_avoided();
                     self.select_next_peer();
-                    last = error;
+                    last_error = error;
                     continue;
                 }
             };
@@ -78,14 +78,14 @@
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
                     let may_retry = self.handle_error(&client, &error);
-                    last = error;
+                    last_error = error;
                     if !may_retry {
                         break;
                     }
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// Selects the next target after `error`; true when the call is known not to have run.
@@ -128,7 +128,9 @@
             .is_some_and(|(at, since)| at == target && since.elapsed() < AVOIDANCE_TIME)
     }
 
-    async fn connect(&self) -> Result<Arc<client::Client>, cranberrygap_link::error::Error> {
+    async fn connected_client(
+        &self,
+    ) -> Result<Arc<client::Client>, cranberrygap_link::error::Error> {
         if let Some(client) = self.open_client() {
             return Ok(client);
         }
@@ -137,7 +139,7 @@
         if let Some(client) = self.open_client() {
             return Ok(client);
         }
-        let target = self.target().ok_or_else(unreachable)?;
+        let target = self.target().ok_or_else(unreachable_error)?;
         let role = credential::Role::Fleet;
         let client = Arc::new(client::Client::connect(target, role, &self.secret.shown()).await?);
         let mut inner = self.inner.lock();
@@ -160,7 +162,7 @@
         let inner = self.inner.lock();
         inner.target.or_else(|| {
             let peers = self.peers.list();
-            let next = peers.get(inner.position % peers.len().max(1));
+            let next = peers.get(inner.next_peer % peers.len().max(1));
             next.map(|peer| self.peers.address_of(peer))
         })
     }
@@ -172,34 +174,34 @@
     }
 
     /// Records that the current target is unreachable.
-    fn avoid_target(&self) {
+    fn mark_target_avoided(&self) {
         let target = self.target();
         self.inner.lock().avoided = target.map(|target| (target, Instant::now()));
     }
 
     fn select_next_peer(&self) {
         let mut inner = self.inner.lock();
-        inner.position = inner.position.wrapping_add(1);
+        inner.next_peer = inner.next_peer.wrapping_add(1);
         inner.target = None;
         inner.client = None;
     }
 
     fn discard_client(&self, failed: &Arc<client::Client>) {
         let mut inner = self.inner.lock();
-        let is_held = inner
+        let is_current = inner
             .client
             .as_ref()
             .is_some_and(|current| Arc::ptr_eq(current, failed));
-        if is_held {
+        if is_current {
             inner.client = None;
             inner.avoided = inner.connected_to.take().map(|at| (at, Instant::now()));
             inner.target = None;
-            inner.position = inner.position.wrapping_add(1);
+            inner.next_peer = inner.next_peer.wrapping_add(1);
         }
     }
 }
 
-fn unreachable() -> cranberrygap_link::error::Error {
+fn unreachable_error() -> cranberrygap_link::error::Error {
     cranberrygap_link::error::Error::Unreachable {
         reason: "no control process answered".into(),
     }
