--- a/crates/cranberrygap-entry/src/announce.rs
+++ b/crates/cranberrygap-entry/src/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of endpoints that arrived at this entry.
+//! Endpoint announcements received by this entry.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use cranberrygap_wire::{endpoint, view};
 use parking_lot::Mutex;
 
-/// Most endpoints that are kept; an endpoint beyond is not taken. Bounds what
-/// strangers on the listener can make an entry store.
-const MOST_ENDPOINTS: usize = 4096;
+/// Number of endpoints that are stored; announcements of others are refused. Limits the
+/// memory that unknown clients of the listener can use up.
+const MAX_ENDPOINTS: usize = 4096;
 
-/// Processes of one endpoint that are kept; the control process remembers as many.
-const MOST_PROCESSES: usize = 8;
+/// Number of processes stored per endpoint; the control process stores as many.
+const MAX_PROCESSES: usize = 8;
 
-/// Collects heartbeats and new content for the leader.
+/// Collects heartbeats and changed announcements for the leader.
 #[derive(Debug, Default)]
 pub struct Inbox {
     inner: Mutex<Inner>,
 }
 
-/// The processes of each endpoint, in the order in which they were first heard.
+/// Processes of each endpoint, in the order of their first announcements.
 ///
-/// Boots have no order: a message that was held up may arrive after one of its sender's
-/// successor. Which process lives is for the leader's state to say.
+/// Boots are not ordered, and a delayed message may arrive after one of the next process.
+/// The leader's state decides which process is alive.
 #[derive(Debug, Default)]
 struct Inner {
     processes: BTreeMap<id::Endpoint, Vec<Process>>,
@@ -31,88 +31,92 @@
 #[derive(Debug)]
 struct Process {
     latest: endpoint::Announcement,
-    /// Whether it was heard since the last batch.
-    is_heard: bool,
-    /// Whether its content is new to the leader.
-    is_fresh: bool,
+    /// Whether an announcement arrived since the last batch.
+    has_new_heartbeat: bool,
+    /// Whether the leader has not received the latest content.
+    has_new_content: bool,
 }
 
-/// What the next confirmation carries.
+/// Announcements to send with the next confirmation.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Heartbeats since the last batch.
+    /// Processes that announced themselves since the last batch.
     pub seen: Vec<view::Seen>,
-    /// Announcements whose content is new.
+    /// Announcements with changed content.
     pub announcements: Vec<endpoint::Announcement>,
 }
 
-/// An announcement that was not taken.
+/// Reason to refuse an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It is older than one that arrived before.
+    /// The announcement is older than one that arrived before.
     #[error("a newer announcement of this endpoint has arrived")]
     Older,
     /// The table is full.
-    #[error("this entry knows {MOST_ENDPOINTS} endpoints and takes no more")]
+    #[error("this entry knows {MAX_ENDPOINTS} endpoints and takes no more")]
     Full,
 }
 
 impl Inbox {
-    /// Takes an announcement.
+    /// Stores an announcement.
     ///
     /// # Errors
     ///
-    /// When it is older than one that arrived before, or the table is full.
-    pub fn take(&self, announcement: endpoint::Announcement) -> Result<(), Error> {
+    /// Fails when the announcement is older than one that arrived before, or the table is full.
+    pub fn accept(&self, announcement: endpoint::Announcement) -> Result<(), Error> {
         let mut inner = self.inner.lock();
         let is_known = inner.processes.contains_key(&announcement.endpoint);
-        if !is_known && inner.processes.len() >= MOST_ENDPOINTS {
+        if !is_known && inner.processes.len() >= MAX_ENDPOINTS {
             return Err(Error::Full);
         }
         if let Some(process) = inner.process(&announcement.endpoint, announcement.boot) {
-            return process.take(announcement);
+            return process.update(announcement);
         }
         let processes = inner.processes.entry(announcement.endpoint.clone());
         let processes = processes.or_default();
         processes.push(Process::new(announcement));
-        if processes.len() > MOST_PROCESSES {
+        if processes.len() > MAX_PROCESSES {
             processes.remove(0);
         }
         Ok(())
     }
 
-    /// Whether there is content that the leader has not heard yet.
-    pub fn has_fresh(&self) -> bool {
+    /// Whether there is content that the leader has not received.
+    pub fn has_new_content(&self) -> bool {
         let inner = self.inner.lock();
-        inner.processes.values().flatten().any(|one| one.is_fresh)
+        inner
+            .processes
+            .values()
+            .flatten()
+            .any(|process| process.has_new_content)
     }
 
-    /// Takes out what the leader has not heard yet.
+    /// Returns what the leader has not received and marks it as sent.
     pub fn drain(&self) -> Batch {
         let mut inner = self.inner.lock();
         let mut batch = Batch::default();
         for process in inner.processes.values_mut().flatten() {
-            if std::mem::take(&mut process.is_heard) {
+            if std::mem::take(&mut process.has_new_heartbeat) {
                 batch.seen.push(process.seen());
             }
-            if std::mem::take(&mut process.is_fresh) {
+            if std::mem::take(&mut process.has_new_content) {
                 batch.announcements.push(process.latest.clone());
             }
         }
         batch
     }
 
-    /// Puts back a batch that did not reach the leader; newer content stays.
+    /// Marks a batch that did not reach the leader as unsent; newer content is kept.
     pub fn restore(&self, batch: Batch) {
         let mut inner = self.inner.lock();
         for seen in batch.seen {
             if let Some(process) = inner.process(&seen.endpoint, seen.boot) {
-                process.is_heard = true;
+                process.has_new_heartbeat = true;
             }
         }
         for announcement in batch.announcements {
             if let Some(process) = inner.process(&announcement.endpoint, announcement.boot) {
-                process.is_fresh = true;
+                process.has_new_content = true;
             }
         }
     }
@@ -129,18 +133,18 @@
     const fn new(announcement: endpoint::Announcement) -> Self {
         Self {
             latest: announcement,
-            is_heard: true,
-            is_fresh: true,
+            has_new_heartbeat: true,
+            has_new_content: true,
         }
     }
 
-    fn take(&mut self, announcement: endpoint::Announcement) -> Result<(), Error> {
-        // A delayed heartbeat would undo a leave that came after it.
+    fn update(&mut self, announcement: endpoint::Announcement) -> Result<(), Error> {
+        // A delayed heartbeat must not undo a later announcement of leaving.
         if self.latest.sequence >= announcement.sequence {
             return Err(Error::Older);
         }
-        self.is_heard = true;
-        self.is_fresh |= !same_content(&self.latest, &announcement);
+        self.has_new_heartbeat = true;
+        self.has_new_content |= !has_same_content(&self.latest, &announcement);
         self.latest = announcement;
         Ok(())
     }
@@ -154,7 +158,7 @@
     }
 }
 
-fn same_content(left: &endpoint::Announcement, right: &endpoint::Announcement) -> bool {
+fn has_same_content(left: &endpoint::Announcement, right: &endpoint::Announcement) -> bool {
     let mut left = left.clone();
     left.sequence = right.sequence;
     left == *right
--- a/crates/cranberrygap-entry/src/caller/addresses.rs
+++ b/crates/cranberrygap-entry/src/caller/addresses.rs
@@ -48,7 +48,7 @@
             // The fleet has just started and lists no entry yet. This entry holds a lease, so it
             // can serve.
             addresses.push(caller::Address {
-                address: self.core.advertised(),
+                address: self.core.advertised_address(),
                 domain: self.core.settings.entry.domain.clone(),
             });
         }
--- a/crates/cranberrygap-entry/src/caller/generate.rs
+++ b/crates/cranberrygap-entry/src/caller/generate.rs
@@ -81,7 +81,7 @@
         view: &view::Snapshot,
         workspace: &id::Workspace,
         engine_request: &engine::Request,
-    ) -> Result<Option<queue::Place>, Refusal> {
+    ) -> Result<Option<queue::Slot>, Refusal> {
         let engines = self
             .core
             .router
@@ -95,16 +95,16 @@
         let target = configuration::Target::Workspace;
         let exception = view.exception(target, workspace.as_str());
         let weight = exception.and_then(|exception| exception.weight);
-        let wish = queue::Wish {
+        let wish = queue::Request {
             model: engine_request.body.model.clone(),
             workspace: workspace.clone(),
             weight: weight.unwrap_or(defaults.weight),
             cost: engine_request.body.max_cost(),
-            patience: defaults.queue_deadline,
+            max_wait: defaults.queue_deadline,
             capacity: engines * (MAX_REQUESTS_PER_ENGINE / entries).max(MIN_REQUESTS_PER_ENGINE),
-            length: defaults.queue_length as usize,
+            max_waiting: defaults.queue_length as usize,
         };
-        let result = self.core.queues.enter(&wish).await;
+        let result = self.core.queues.acquire(&wish).await;
         let refusal = |retry_after| Refusal::NoEndpoint { retry_after };
         result.map(Some).map_err(refusal)
     }
--- a/crates/cranberrygap-entry/src/control/session.rs
+++ b/crates/cranberrygap-entry/src/control/session.rs
@@ -1,4 +1,4 @@
-//! Calls to the control leader, wherever it is.
+//! Calls to the control leader, with discovery of the current leader.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 
 use super::peers;
 
-/// Processes asked for the leader before a call gives up. One round over seven
-/// control processes and one more for a leader that changed meanwhile.
-const MOST_HOPS: usize = 8;
+/// Attempts per call to reach the leader: one for each of seven control processes and one
+/// more for a leader that changed meanwhile.
+const MAX_HOPS: usize = 8;
 
-/// Time for which a process that did not answer is not asked again on the word of
-/// another one; an election takes about a second.
-const AVOIDED: Duration = Duration::from_millis(1_200);
+/// Time during which redirections to a process that did not answer are ignored. An
+/// election takes about a second.
+const AVOIDANCE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Keeps one connection to the process that was leader last.
+/// Connection to the last known leader.
 #[derive(Debug)]
 pub(crate) struct Session {
     peers: Arc<peers::Peers>,
@@ -33,15 +33,15 @@
 struct Inner {
     target: Option<address::Socket>,
     client: Option<Arc<client::Client>>,
-    position: usize,
-    /// A process that did not answer, and when.
+    next_peer: usize,
+    /// Last process that did not answer, and the time of that failure.
     avoided: Option<(address::Socket, Instant)>,
-    /// Where the client is connected.
-    reached: Option<address::Socket>,
+    /// Address that the client is connected to.
+    connected_to: Option<address::Socket>,
 }
 
 impl Session {
-    /// A session that will find the leader among `peers`.
+    /// Creates a session that searches for the leader among `peers`.
     pub(crate) fn new(peers: Arc<peers::Peers>, secret: Arc<credential::Holder>) -> Self {
         Self {
             peers,
@@ -51,45 +51,49 @@
         }
     }
 
-    /// Calls the leader; follows redirections and tries other processes while it
-    /// is certain that the call has not run.
+    /// Calls the leader. Follows redirections and tries other processes as long as the
+    /// call is known not to have run.
     ///
     /// # Errors
     ///
-    /// The last error; `not_sent` or a refusal prove that the call did not run.
+    /// Returns the last error; `not_sent` or a refusal prove that the call did not run.
     pub(crate) async fn call<P: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: &'static str,
         params: &P,
         deadline: duration::Span,
     ) -> Result<R, cranberrygap_link::error::Error> {
-        let mut last = unreachable();
-        for _hop in 0..MOST_HOPS {
-            let client = match self.connected().await {
+        let mut last_error = unreachable_error();
+        for _hop in 0..MAX_HOPS {
+            let client = match self.connected_client().await {
                 Ok(client) => client,
                 Err(error) => {
-                    self.avoid_target();
-                    self.rotate();
-                    last = error;
+                    self.mark_target_avoided();
+                    self.select_next_peer();
+                    last_error = error;
                     continue;
                 }
             };
             match client.call(method, params, deadline).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
-                    let again = self.learn(&client, &error);
-                    last = error;
-                    if !again {
+                    let may_retry = self.handle_error(&client, &error);
+                    last_error = error;
+                    if !may_retry {
                         break;
                     }
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Chooses where to go after `error`; true when the call surely did not run.
-    fn learn(&self, failed: &Arc<client::Client>, error: &cranberrygap_link::error::Error) -> bool {
+    /// Selects the next target after `error`; true when the call is known not to have run.
+    fn handle_error(
+        &self,
+        failed: &Arc<client::Client>,
+        error: &cranberrygap_link::error::Error,
+    ) -> bool {
         match error {
             cranberrygap_link::error::Error::Refused {
                 code: method::NOT_LEADER,
@@ -98,52 +102,54 @@
             } => {
                 let leader = serde_json::from_value::<Option<address::Peer>>(data.clone());
                 let leader = leader.ok().flatten();
-                let leader = leader.map(|leader| self.peers.reached(&leader));
+                let leader = leader.map(|leader| self.peers.address_of(&leader));
                 match leader.filter(|leader| !self.is_avoided(*leader)) {
-                    Some(leader) => self.turn_to(leader),
-                    None => self.rotate(),
+                    Some(leader) => self.set_target(leader),
+                    None => self.select_next_peer(),
                 }
                 true
             }
             cranberrygap_link::error::Error::Refused { .. } => false,
             other => {
-                self.forget(failed);
+                self.discard_client(failed);
                 other.not_sent()
             }
         }
     }
 
-    /// Whether a process did not answer a moment ago.
+    /// Whether a process recently did not answer.
     ///
-    /// The others take a leader that stands still for the leader until they elect
-    /// another one, and send whoever asks back to it.
+    /// Until the next election, the other processes still redirect callers to a leader
+    /// that hangs.
     fn is_avoided(&self, target: address::Socket) -> bool {
         let inner = self.inner.lock();
         inner
             .avoided
-            .is_some_and(|(at, since)| at == target && since.elapsed() < AVOIDED)
+            .is_some_and(|(at, since)| at == target && since.elapsed() < AVOIDANCE_TIME)
     }
 
-    async fn connected(&self) -> Result<Arc<client::Client>, cranberrygap_link::error::Error> {
-        if let Some(client) = self.live() {
+    async fn connected_client(
+        &self,
+    ) -> Result<Arc<client::Client>, cranberrygap_link::error::Error> {
+        if let Some(client) = self.open_client() {
             return Ok(client);
         }
-        // One task connects; the others wait and then use its connection.
+        // One task connects; the others wait and reuse its connection.
         let _guard = self.connecting.lock().await;
-        if let Some(client) = self.live() {
+        if let Some(client) = self.open_client() {
             return Ok(client);
         }
-        let target = self.target().ok_or_else(unreachable)?;
+        let target = self.target().ok_or_else(unreachable_error)?;
         let role = credential::Role::Fleet;
         let client = Arc::new(client::Client::connect(target, role, &self.secret.shown()).await?);
         let mut inner = self.inner.lock();
         inner.client = Some(Arc::clone(&client));
-        inner.reached = Some(target);
+        inner.connected_to = Some(target);
         drop(inner);
         Ok(client)
     }
 
-    fn live(&self) -> Option<Arc<client::Client>> {
+    fn open_client(&self) -> Option<Arc<client::Client>> {
         let inner = self.inner.lock();
         inner
             .client
@@ -156,46 +162,46 @@
         let inner = self.inner.lock();
         inner.target.or_else(|| {
             let peers = self.peers.list();
-            let next = peers.get(inner.position % peers.len().max(1));
-            next.map(|peer| self.peers.reached(peer))
+            let next = peers.get(inner.next_peer % peers.len().max(1));
+            next.map(|peer| self.peers.address_of(peer))
         })
     }
 
-    fn turn_to(&self, target: address::Socket) {
+    fn set_target(&self, target: address::Socket) {
         let mut inner = self.inner.lock();
         inner.target = Some(target);
         inner.client = None;
     }
 
-    /// The process that is to be asked next cannot be reached.
-    fn avoid_target(&self) {
+    /// Records that the current target is unreachable.
+    fn mark_target_avoided(&self) {
         let target = self.target();
         self.inner.lock().avoided = target.map(|target| (target, Instant::now()));
     }
 
-    fn rotate(&self) {
+    fn select_next_peer(&self) {
         let mut inner = self.inner.lock();
-        inner.position = inner.position.wrapping_add(1);
+        inner.next_peer = inner.next_peer.wrapping_add(1);
         inner.target = None;
         inner.client = None;
     }
 
-    fn forget(&self, failed: &Arc<client::Client>) {
+    fn discard_client(&self, failed: &Arc<client::Client>) {
         let mut inner = self.inner.lock();
-        let is_held = inner
+        let is_current = inner
             .client
             .as_ref()
-            .is_some_and(|held| Arc::ptr_eq(held, failed));
-        if is_held {
+            .is_some_and(|current| Arc::ptr_eq(current, failed));
+        if is_current {
             inner.client = None;
-            inner.avoided = inner.reached.take().map(|at| (at, Instant::now()));
+            inner.avoided = inner.connected_to.take().map(|at| (at, Instant::now()));
             inner.target = None;
-            inner.position = inner.position.wrapping_add(1);
+            inner.next_peer = inner.next_peer.wrapping_add(1);
         }
     }
 }
 
-fn unreachable() -> cranberrygap_link::error::Error {
+fn unreachable_error() -> cranberrygap_link::error::Error {
     cranberrygap_link::error::Error::Unreachable {
         reason: "no control process answered".into(),
     }
--- a/crates/cranberrygap-entry/src/discovery.rs
+++ b/crates/cranberrygap-entry/src/discovery.rs
@@ -51,7 +51,7 @@
         if addresses.is_empty() && !self.core.is_draining() {
             // The fleet has just started and lists no entry yet. This entry holds a lease, so it
             // can serve.
-            addresses.push(self.core.advertised());
+            addresses.push(self.core.advertised_address());
         }
         addresses.shuffle(&mut rand::rng());
         addresses
--- a/crates/cranberrygap-entry/src/server.rs
+++ b/crates/cranberrygap-entry/src/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP listeners.
 
 mod announcements;
-mod bound;
+mod concurrency;
 pub(crate) mod socket;
 
 use std::sync::Arc;
@@ -19,21 +19,21 @@
 
 pub(crate) use announcements::Announcements;
 
-/// A listener that serves.
-pub(crate) struct Listening {
+/// A running HTTP listener.
+pub(crate) struct Listener {
     pub address: address::Socket,
     handle: ServerHandle,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Listening {
-    /// Serves `router` at `wanted`, at most `connections` at a time.
+impl Listener {
+    /// Serves `router` at `address` with at most `connections` at once.
     pub(crate) fn start(
-        wanted: address::Socket,
+        address: address::Socket,
         router: Router,
         connections: usize,
     ) -> std::io::Result<Self> {
-        let acceptor = TcpAcceptor::try_from(socket::listen(wanted.0)?)?;
+        let acceptor = TcpAcceptor::try_from(socket::listen(address.0)?)?;
         let address = address::Socket(acceptor.local_addr()?);
         let server = Server::new(acceptor).max_connections(connections);
         let handle = server.handle();
@@ -45,15 +45,15 @@
         })
     }
 
-    /// Takes no new connections and waits until all requests have ended.
-    pub(crate) async fn finish(self) {
+    /// Accepts no new connections and waits until all requests have ended.
+    pub(crate) async fn stop(self) {
         self.handle.stop_graceful(None);
         drop(self.task.await);
     }
 }
 
-/// The callers' paths.
-pub(crate) fn callers(core: &Arc<core::Core>) -> Router {
+/// Routes of the callers' listener.
+pub(crate) fn callers_router(core: &Arc<core::Core>) -> Router {
     let chat = caller::generate::Generate {
         core: Arc::clone(core),
         path: "/v1/chat/completions",
@@ -79,14 +79,14 @@
             }),
         );
     Router::new()
-        .hoop(bound::Bound::new(core))
+        .hoop(concurrency::Limit::new(core))
         .push(v1)
         .push(Router::with_path("services/{name}/{**rest}").goal(services))
-        .push(Router::with_path("{**rest}").goal(bound::Unknown))
+        .push(Router::with_path("{**rest}").goal(concurrency::NotFound))
 }
 
-/// The endpoints' paths.
-pub(crate) fn endpoints(core: &Arc<core::Core>, token: Option<String>) -> Router {
+/// Routes of the endpoints' listener.
+pub(crate) fn endpoints_router(core: &Arc<core::Core>, token: Option<String>) -> Router {
     let announcements = Announcements {
         core: Arc::clone(core),
         token,
@@ -94,7 +94,7 @@
     Router::with_path("announce").post(announcements)
 }
 
-/// Reads a body up to the bound in the settings.
+/// Reads a body up to the size limit in the settings.
 pub(crate) async fn read_body(
     request: &mut Request,
     core: &Arc<core::Core>,
@@ -103,7 +103,7 @@
         .settings
         .limits
         .as_ref()
-        .map_or(DEFAULT_BODY, |limits| limits.body.0);
+        .map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body.0);
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     match request.payload_with_max_size(limit).await {
         Ok(bytes) => Ok(Bytes::clone(bytes)),
@@ -112,5 +112,5 @@
     }
 }
 
-/// Largest body without a setting; the schema's default is the same.
-const DEFAULT_BODY: u64 = 1 << 20;
+/// Maximum body size without a setting; equals the schema's default.
+const DEFAULT_MAX_BODY_BYTES: u64 = 1 << 20;
--- a/crates/cranberrygap-entry/src/server/bound.rs
+++ b/crates/cranberrygap-entry/src/server/concurrency.rs
@@ -1,4 +1,4 @@
-//! Bounds on the requests in progress.
+//! Limit on the requests in progress.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
 use crate::metric;
 use crate::refusal::Refusal;
 
-/// Requests in progress without a setting; the schema's default is the same.
+/// Limit of requests in progress without a setting; equals the schema's default.
 const DEFAULT_REQUESTS: u32 = 2048;
 
-/// Refuses at once when too many requests are in progress.
+/// Middleware that refuses requests beyond the limit without queueing them.
 #[derive(Debug)]
-pub(crate) struct Bound {
+pub(crate) struct Limit {
     slots: Arc<Semaphore>,
     core: Arc<core::Core>,
 }
 
-impl Bound {
-    /// A bound from the settings.
+impl Limit {
+    /// Creates a limit from the settings.
     pub(crate) fn new(core: &Arc<core::Core>) -> Self {
         let limits = core.settings.limits.as_ref();
         let requests = limits.map_or(DEFAULT_REQUESTS, |limits| limits.requests);
@@ -34,7 +34,7 @@
 }
 
 #[salvo::async_trait]
-impl Handler for Bound {
+impl Handler for Limit {
     async fn handle(
         &self,
         req: &mut Request,
@@ -57,12 +57,12 @@
     }
 }
 
-/// Answers paths that do not exist.
+/// Handler for unknown paths.
 #[derive(Debug)]
-pub(crate) struct Unknown;
+pub(crate) struct NotFound;
 
 #[salvo::async_trait]
-impl Handler for Unknown {
+impl Handler for NotFound {
     async fn handle(
         &self,
         req: &mut Request,
--- a/crates/cranberrygap-entry/src/view/snapshot.rs
+++ b/crates/cranberrygap-entry/src/view/snapshot.rs
@@ -1,4 +1,4 @@
-//! The view at one revision with the indexes that requests need.
+//! The view at one revision, indexed for request handling.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 
 use super::traffic;
 
-/// The view at one revision. It never changes; the next revision is a new one.
+/// Immutable view at one revision.
 ///
-/// Parts are shared between revisions, so that a change copies only its part.
+/// Revisions share unchanged parts, so that a change copies only the part it affects.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     revision: number::Revision,
-    /// Revision of the last change that this entry has to confirm at once.
-    binding: number::Revision,
+    /// Revision of the last change that this entry must confirm at once.
+    binding_revision: number::Revision,
     configuration: Arc<configuration::Configuration>,
     catalogue: Arc<BTreeMap<id::Model, endpoint::Weights>>,
     keys: Arc<BTreeMap<SmolStr, view::Key>>,
@@ -33,41 +33,49 @@
     pub(super) fn new(revision: number::Revision, state: view::State) -> Self {
         Self {
             revision,
-            binding: revision,
+            binding_revision: revision,
             configuration: Arc::new(state.configuration),
-            catalogue: Arc::new(catalogue(state.catalogue)),
-            keys: Arc::new(keyed(state.keys, |key| key.hash.clone())),
-            endpoints: Arc::new(keyed(state.endpoints, |e| e.announcement.endpoint.clone())),
-            members: Arc::new(keyed(state.members, |member| member.instance.clone())),
-            quarantines: Arc::new(keyed(state.quarantines, |q| q.fingerprint.clone())),
+            catalogue: Arc::new(index_catalogue(state.catalogue)),
+            keys: Arc::new(index_by(state.keys, |key| key.hash.clone())),
+            endpoints: Arc::new(index_by(state.endpoints, |e| {
+                e.announcement.endpoint.clone()
+            })),
+            members: Arc::new(index_by(state.members, |member| member.instance.clone())),
+            quarantines: Arc::new(index_by(state.quarantines, |q| q.fingerprint.clone())),
             workspaces: Arc::new(state.workspaces),
-            residencies: Arc::new(keyed(state.residencies, |told| told.endpoint.clone())),
-            lenders: Arc::new(lenders(state.lenders)),
+            residencies: Arc::new(index_by(state.residencies, |residency| {
+                residency.endpoint.clone()
+            })),
+            lenders: Arc::new(index_lenders(state.lenders)),
             traffic: state
                 .traffic
                 .map(|plan| Arc::new(traffic::Table::new(plan))),
         }
     }
 
-    pub(super) fn with(&self, revision: number::Revision, changes: Vec<view::Change>) -> Self {
+    pub(super) fn with_changes(
+        &self,
+        revision: number::Revision,
+        changes: Vec<view::Change>,
+    ) -> Self {
         let mut next = self.clone();
         next.revision = revision;
         if changes.iter().any(binding::is_binding) {
-            next.binding = revision;
+            next.binding_revision = revision;
         }
         for change in changes {
-            next.apply(change);
+            next.apply_change(change);
         }
         next
     }
 
-    fn apply(&mut self, change: view::Change) {
+    fn apply_change(&mut self, change: view::Change) {
         match change {
             view::Change::Configured { configuration } => {
                 self.configuration = Arc::new(configuration);
             }
             view::Change::Catalogued { catalogue: listed } => {
-                self.catalogue = Arc::new(catalogue(listed));
+                self.catalogue = Arc::new(index_catalogue(listed));
             }
             view::Change::KeyIssued { key } => {
                 Arc::make_mut(&mut self.keys).insert(key.hash.clone(), key);
@@ -119,10 +127,10 @@
         self.revision
     }
 
-    /// The revision of the last change that the leader waits for.
+    /// Revision of the last change that the leader waits for this entry to confirm.
     #[must_use]
-    pub fn binding(&self) -> number::Revision {
-        self.binding
+    pub fn binding_revision(&self) -> number::Revision {
+        self.binding_revision
     }
 
     /// The fleet-wide defaults.
@@ -131,7 +139,7 @@
         &self.configuration.defaults
     }
 
-    /// The exception for a workspace, model or service, if there is one.
+    /// The exception from the defaults for a workspace, model or service, if there is one.
     #[must_use]
     pub fn exception(
         &self,
@@ -166,7 +174,7 @@
         &self.endpoints
     }
 
-    /// The refusal of a request that crashed endpoints, if there is one.
+    /// The quarantine of requests with this fingerprint, if there is one.
     #[must_use]
     pub fn quarantine(&self, fingerprint: &str) -> Option<&view::Quarantine> {
         self.quarantines.get(fingerprint)
@@ -184,14 +192,14 @@
         self.traffic.as_ref()
     }
 
-    /// What the leader says of endpoints' memory beyond what they announce.
+    /// Residency of endpoints as the leader publishes it, in addition to announcements.
     #[must_use]
     pub fn residencies(&self) -> &Arc<BTreeMap<id::Endpoint, view::Residency>> {
         &self.residencies
     }
 
-    /// Control processes that belong to the group.
-    pub fn controls(&self) -> impl Iterator<Item = &view::Member> {
+    /// Control processes that have not left the group.
+    pub fn control_members(&self) -> impl Iterator<Item = &view::Member> {
         let members = self.members.values();
         members.filter(|m| m.role == view::Role::Control && m.phase != view::Phase::Left)
     }
@@ -204,34 +212,34 @@
         entries.filter(|m| m.phase != view::Phase::Left).count()
     }
 
-    /// Entries that take callers.
+    /// Entries that accept callers.
     pub fn active_entries(&self) -> impl Iterator<Item = &view::Member> {
         let members = self.members.values();
         members.filter(|m| m.role == view::Role::Entry && m.phase == view::Phase::Active)
     }
 
-    /// Callers' addresses of other entries that take callers.
+    /// Addresses at which other active entries accept callers.
     #[must_use]
-    pub fn others(&self, own: &id::Instance) -> Vec<address::Socket> {
+    pub fn other_entry_addresses(&self, own: &id::Instance) -> Vec<address::Socket> {
         let others = self
             .active_entries()
             .filter(|member| member.instance != *own);
         others.map(|member| member.address).collect()
     }
 
-    /// Entries that lend a workspace's tokens in place of the leader.
+    /// Entry that lends tokens in place of the leader, by workspace.
     #[must_use]
     pub fn lenders(&self) -> &BTreeMap<id::Workspace, id::Instance> {
         &self.lenders
     }
 
-    /// The members by name.
+    /// All members by name.
     #[must_use]
     pub fn members(&self) -> &BTreeMap<id::Instance, view::Member> {
         &self.members
     }
 
-    /// The view without hashes of keys, for a dump.
+    /// The view as JSON for a dump, without the hashes of keys.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
         let keys: Vec<&id::Key> = self.keys.values().map(|key| &key.key).collect();
@@ -249,16 +257,16 @@
     }
 }
 
-fn keyed<K: Ord, V>(items: Vec<V>, key: impl Fn(&V) -> K) -> BTreeMap<K, V> {
+fn index_by<K: Ord, V>(items: Vec<V>, key: impl Fn(&V) -> K) -> BTreeMap<K, V> {
     items.into_iter().map(|item| (key(&item), item)).collect()
 }
 
-fn lenders(listed: Vec<view::Lender>) -> BTreeMap<id::Workspace, id::Instance> {
-    let chosen = listed.into_iter();
-    let chosen = chosen.filter_map(|lender| Some((lender.workspace, lender.instance?)));
-    chosen.collect()
+fn index_lenders(listed: Vec<view::Lender>) -> BTreeMap<id::Workspace, id::Instance> {
+    let lenders = listed.into_iter();
+    let lenders = lenders.filter_map(|lender| Some((lender.workspace, lender.instance?)));
+    lenders.collect()
 }
 
-fn catalogue(listed: Vec<endpoint::Weights>) -> BTreeMap<id::Model, endpoint::Weights> {
-    keyed(listed, |weights| weights.model.clone())
+fn index_catalogue(listed: Vec<endpoint::Weights>) -> BTreeMap<id::Model, endpoint::Weights> {
+    index_by(listed, |weights| weights.model.clone())
 }
