--- a/crates/cranberrygap-bench/src/soak/agreement/host.rs
+++ b/crates/cranberrygap-bench/src/soak/agreement/host.rs
@@ -111,7 +111,7 @@
             ..write::Write::default()
         };
         folder.write(&[first])?;
-        folder.join(formed.clone())
+        folder.record_group(formed.clone())
     }
 
     /// Ends the replica; what it had not written is gone.
--- a/crates/cranberrygap-bench/src/soak/agreement/life.rs
+++ b/crates/cranberrygap-bench/src/soak/agreement/life.rs
@@ -54,7 +54,7 @@
             Err(cause) => return Err(format!("host {place} cannot start: {cause}")),
         };
         self.tally.restarts += 1;
-        self.tally.torn_tails += u64::from(found.cut > 0);
+        self.tally.torn_tails += u64::from(found.truncated_bytes > 0);
         self.note(&format!("host {place} starts as {}", self.hosts[place].id));
         self.step(place, input::Input::Tick).map(drop)
     }
--- a/crates/cranberrygap-control/src/replica.rs
+++ b/crates/cranberrygap-control/src/replica.rs
@@ -79,8 +79,11 @@
         let new_id = cranberrygap_agreement::replica::Id(random()?);
         let instance = settings.own.instance.clone();
         let (folder, recovered) = folder::Folder::open(files, &instance, new_id)?;
-        if recovered.cut > 0 {
-            spdlog::warn!("storage: cut a torn tail of {} bytes", recovered.cut);
+        if recovered.truncated_bytes > 0 {
+            spdlog::warn!(
+                "storage: cut a torn tail of {} bytes",
+                recovered.truncated_bytes
+            );
         }
         if let Some(snapshot) = &recovered.snapshot {
             let restored = state_machine.restore(snapshot.position.index, &snapshot.data);
--- a/crates/cranberrygap-control/src/replica/writer.rs
+++ b/crates/cranberrygap-control/src/replica/writer.rs
@@ -63,7 +63,7 @@
             Job::Write(write) => writes.push(write),
             Job::Join(formed, first) => {
                 folder.write(&first.into_iter().collect::<Vec<_>>())?;
-                folder.join(formed)?;
+                folder.record_group(formed)?;
                 drop(done.send(Done::Joined));
             }
         }
--- a/crates/cranberrygap-storage/src/check.rs
+++ b/crates/cranberrygap-storage/src/check.rs
@@ -23,7 +23,7 @@
     /// Entries after the snapshot.
     pub entries: usize,
     /// Bytes of a torn tail; it was never acknowledged and is cut at a start.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// What would stop a replica from starting here.
     pub faults: Vec<error::Error>,
 }
@@ -44,7 +44,7 @@
         snapshot: position::Position::default(),
         last: position::Position::default(),
         entries: 0,
-        torn: 0,
+        torn_bytes: 0,
         faults: Vec::new(),
     };
     if let Err(fault) = report.fill(files) {
@@ -71,7 +71,7 @@
         let snapshot = self.read_snapshots(files, &names);
         let segments = reader::read(files, &names, &identity)?;
         let torn = segments.list.iter().map(|segment| segment.torn);
-        self.torn = torn.sum();
+        self.torn_bytes = torn.sum();
         let joined = reader::Joined::new(&segments, snapshot.as_ref())?;
         self.hard = joined.hard;
         self.last = joined.last();
@@ -122,11 +122,11 @@
             "log up to entry {last}, {} after the snapshot",
             self.entries
         )?;
-        if self.torn > 0 {
+        if self.torn_bytes > 0 {
             writeln!(
                 f,
                 "a torn tail of {} bytes, cut at the next start",
-                self.torn
+                self.torn_bytes
             )?;
         }
         for fault in &self.faults {
--- a/crates/cranberrygap-storage/src/folder.rs
+++ b/crates/cranberrygap-storage/src/folder.rs
@@ -77,7 +77,7 @@
             hard: joined.hard,
             snapshot,
             entries: joined.entries,
-            cut,
+            truncated_bytes: cut,
         };
         Ok((folder, recovered))
     }
@@ -90,7 +90,7 @@
 
     /// Whether a write failed, so that nothing is taken any more.
     #[must_use]
-    pub fn failed(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.failed
     }
 
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// The folder cannot be written.
-    pub fn join(&mut self, formed: formation::Formed) -> Result<(), error::Error> {
+    pub fn record_group(&mut self, formed: formation::Formed) -> Result<(), error::Error> {
         let mut identity = self.identity.clone();
         identity.formed = Some(formed);
         let written = write_identity(self.files.as_mut(), &identity);
--- a/crates/cranberrygap-storage/src/recovered.rs
+++ b/crates/cranberrygap-storage/src/recovered.rs
@@ -18,5 +18,5 @@
     /// Entries after it.
     pub entries: Vec<entry::Entry>,
     /// Bytes of a torn tail, never acknowledged, that were cut.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
--- a/crates/cranberrygap-storage/tests/recovery.rs
+++ b/crates/cranberrygap-storage/tests/recovery.rs
@@ -41,8 +41,11 @@
     folder.write(&[support::append(2, 4..=4)]).unwrap();
     let (_, last) = support::open(&disk).unwrap();
 
-    assert!(report.torn > 0 && report.faults.is_empty(), "{report}");
-    assert_eq!(again.cut, report.torn);
+    assert!(
+        report.torn_bytes > 0 && report.faults.is_empty(),
+        "{report}"
+    );
+    assert_eq!(again.truncated_bytes, report.torn_bytes);
     assert_eq!(support::found(&again), [(2, 1), (2, 2), (2, 3)]);
     assert_eq!(support::found(&last).last(), Some(&(2, 4)));
 }
@@ -81,7 +84,7 @@
 
     let (_, again) = support::open(&disk).unwrap();
 
-    assert!(again.cut > 0);
+    assert!(again.truncated_bytes > 0);
     assert_eq!(support::found(&again), [(2, 1), (2, 2), (2, 3)]);
 }
 
@@ -117,7 +120,7 @@
 fn damaged_header_of_the_only_segment_stops() {
     let disk = support::Disk::default();
     let (mut folder, _) = support::open(&disk).unwrap();
-    folder.join(support::formed()).unwrap();
+    folder.record_group(support::formed()).unwrap();
     disk.change(SEGMENT, |bytes| bytes[20] ^= 1);
 
     let error = support::open(&disk).unwrap_err();
@@ -255,7 +258,7 @@
 
     assert!(matches!(first, Err(error::Error::Io { .. })));
     assert!(matches!(second, Err(error::Error::Failed)));
-    assert!(folder.failed());
+    assert!(folder.has_failed());
 }
 
 // After a failed sync the system reports the next one as done, although the data
