--- a/crates/cranberrygap-storage/src/check.rs
+++ b/crates/cranberrygap-storage/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads a folder and says what is in it and what is wrong.
+//! Checks a data folder and reports its content and faults.
 
 use std::fmt;
 use std::path::Path;
@@ -7,34 +7,35 @@
 
 use crate::{disk, error, files, folder, identity, name, reader, snapshots};
 
-/// What a folder holds.
+/// Content and faults of a folder.
 #[derive(Debug)]
 pub struct Report {
-    /// Who it belongs to.
+    /// Identity of the replica, if the folder has one.
     pub identity: Option<identity::Identity>,
     /// Names and sizes of all files, in bytes.
     pub files: Vec<(String, u64)>,
     /// Term and vote.
     pub hard: hard::State,
-    /// Last entry in the latest snapshot.
+    /// Position of the last entry in the latest snapshot.
     pub snapshot: position::Position,
-    /// Last entry in the log.
+    /// Position of the last entry in the log.
     pub last: position::Position,
-    /// Entries after the snapshot.
+    /// Number of log entries after the snapshot.
     pub entries: usize,
-    /// Bytes of a torn tail; it was never acknowledged and is cut at a start.
+    /// Length of the torn tail, in bytes; it was never acknowledged and is truncated
+    /// at the next start.
     pub torn_bytes: u64,
-    /// What would stop a replica from starting here.
+    /// Errors that prevent a replica from starting with this folder.
     pub faults: Vec<error::Error>,
 }
 
-/// Reads a folder on the disk without changing or locking it.
+/// Checks a folder in the file system without changing or locking it.
 #[must_use]
 pub fn folder(path: &Path) -> Report {
     read(&disk::Disk::read_only(path))
 }
 
-/// Reads a folder through its file operations.
+/// Checks a folder through its file operations.
 #[must_use]
 pub fn read(files: &dyn files::Files) -> Report {
     let mut report = Report {
@@ -64,18 +65,19 @@
         }
         self.identity = folder::read_identity(files, &names)?;
         let Some(identity) = self.identity.clone() else {
-            let data = names.iter().find(|name| name::is_data(name));
-            let lost = data.map(|name| error::Error::damaged(name, 0, name::NO_IDENTITY));
-            return lost.map_or(Ok(()), Err);
+            let data_file = names.iter().find(|name| name::is_data(name));
+            let fault =
+                data_file.map(|name| error::Error::damaged(name, 0, name::IDENTITY_MISSING));
+            return fault.map_or(Ok(()), Err);
         };
         let snapshot = self.read_snapshots(files, &names);
         let segments = reader::read(files, &names, &identity)?;
-        let torn = segments.list.iter().map(|segment| segment.torn);
+        let torn = segments.list.iter().map(|segment| segment.torn_bytes);
         self.torn_bytes = torn.sum();
-        let joined = reader::Joined::new(&segments, snapshot.as_ref())?;
-        self.hard = joined.hard;
-        self.last = joined.last();
-        self.entries = joined.entries.len();
+        let log = reader::Log::new(&segments, snapshot.as_ref())?;
+        self.hard = log.hard;
+        self.last = log.last();
+        self.entries = log.entries.len();
         Ok(())
     }
 
--- a/crates/cranberrygap-storage/src/disk.rs
+++ b/crates/cranberrygap-storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! File operations on a real folder.
+//! File operations on a folder of the file system.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,7 +7,7 @@
 
 use crate::{error, files, name};
 
-/// A folder on a disk, locked for this process if it may be written.
+/// A folder in the file system, locked for this process if opened for writing.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
@@ -16,15 +16,15 @@
 }
 
 impl Disk {
-    /// Creates the folder if there is none, and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     ///
-    /// Two processes on one folder would both append to the log; one would see
-    /// damaged records or a vote given twice. The operating system drops the
-    /// lock when the process ends, however it ends.
+    /// Two processes on one folder would both append to the log, which could damage
+    /// records or give a vote twice. The operating system releases the lock when the
+    /// process ends, even after a crash.
     ///
     /// # Errors
     ///
-    /// The folder cannot be used, or another process uses it.
+    /// The folder cannot be created or locked, or another process holds the lock.
     pub fn lock(folder: &Path) -> Result<Self, error::Error> {
         let shown = folder.display().to_string();
         let wrap = |action| error::Error::io(&shown, action);
@@ -44,7 +44,7 @@
         })
     }
 
-    /// A folder for reading only, without a lock.
+    /// Opens a folder for reading only, without a lock.
     #[must_use]
     pub fn read_only(folder: &Path) -> Self {
         Self {
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Open handle of a file in append mode; creates the file if it does not exist.
     fn file(&mut self, name: &str) -> io::Result<&mut fs::File> {
         if !self.open.contains_key(name) {
             let mut options = fs::OpenOptions::new();
--- a/crates/cranberrygap-storage/src/error.rs
+++ b/crates/cranberrygap-storage/src/error.rs
@@ -1,55 +1,55 @@
-//! What can go wrong with a data folder.
+//! Errors of a data folder.
 
 use std::io;
 
-/// Why a folder cannot be used, or no longer.
+/// Reason why a folder cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The operating system refused an operation.
+    /// An operation of the operating system failed.
     #[error("{file}: cannot {action}: {source}")]
     Io {
-        /// File or folder.
+        /// Name of the file or folder.
         file: String,
-        /// What was tried.
+        /// Operation that failed.
         action: &'static str,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file's content is not what was written.
+    /// The content of a file is corrupted, or a file is missing.
     #[error(
-        "{file}: damaged at byte {offset}: {what}. What was acknowledged may be lost here: keep \
-         the folder for inspection, start this replica with an empty one, and replace it in the \
+        "{file}: damaged at byte {offset}: {what}. Acknowledged data may be lost: keep the \
+         folder for inspection, start this replica with an empty folder, and replace it in the \
          group"
     )]
     Damaged {
         /// File name.
         file: String,
-        /// Where in the file.
+        /// Offset in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         what: String,
     },
     /// Another process uses the folder.
     #[error("{folder}: another process uses this folder; stop it or name another folder")]
     Locked {
-        /// The folder.
+        /// Path of the folder.
         folder: String,
     },
     /// The folder belongs to another instance.
     #[error("the folder belongs to {found}, not to {wanted}; name the folder of {wanted}")]
     Foreign {
-        /// Instance in the folder.
+        /// Instance named in the folder's identity.
         found: String,
-        /// Instance in the settings.
+        /// Instance named in the settings.
         wanted: String,
     },
     /// An earlier write or sync failed.
-    #[error("an earlier write failed; the folder takes nothing more until a restart")]
+    #[error("an earlier write failed; the folder refuses writes until a restart")]
     Failed,
 }
 
 impl Error {
-    /// Wraps what the operating system said of an operation on `file`.
+    /// Adds the file and the operation to an error of the operating system.
     pub fn io(file: &str, action: &'static str) -> impl FnOnce(io::Error) -> Self {
         let file = file.to_owned();
         move |source| Self::Io {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Damage in `file` at `offset`.
+    /// Error for damage in `file` at byte `offset`.
     #[must_use]
     pub fn damaged(file: &str, offset: usize, what: &str) -> Self {
         Self::Damaged {
--- a/crates/cranberrygap-storage/src/files.rs
+++ b/crates/cranberrygap-storage/src/files.rs
@@ -1,52 +1,52 @@
-//! The few file operations that storage needs.
+//! The file operations that storage uses.
 
 use std::fmt;
 use std::io;
 
-/// File operations in one folder; names have no path in them.
+/// File operations in one folder; file names contain no path.
 ///
-/// Tests put a faulty disk behind it.
+/// Tests implement this trait to simulate disk faults.
 pub trait Files: Send + fmt::Debug {
     /// Names of all files in the folder.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// The error of the operating system.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A whole file.
+    /// Content of a file.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// The error of the operating system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends to a file; creates it if there is none.
+    /// Appends to a file; creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// What the operating system says; a part may have been written.
+    /// The error of the operating system; part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes a file's content durable.
+    /// Makes the content of a file durable (fsync).
     ///
     /// # Errors
     ///
-    /// What the operating system says; the content may be lost.
+    /// The error of the operating system; the content may be lost.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Makes names and removals in the folder durable.
+    /// Makes created, renamed and removed names in the folder durable.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// The error of the operating system.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// Renames a file over another.
+    /// Renames a file; replaces an existing file of the new name.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// The error of the operating system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// The error of the operating system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
--- a/crates/cranberrygap-storage/src/folder.rs
+++ b/crates/cranberrygap-storage/src/folder.rs
@@ -5,34 +5,34 @@
 
 use crate::{error, files, frame, identity, name, reader, record, recovered, snapshots};
 
-/// Size from which a new segment is begun, in bytes. Bounds how much of the log
-/// a restart reads that a snapshot already covers.
-const SEGMENT_SIZE: u64 = 1 << 20;
+/// Size at which a new segment is started, in bytes. Limits how many log entries
+/// a restart reads although a snapshot already contains them.
+const SEGMENT_BYTES: u64 = 1 << 20;
 
-/// Largest frame that is written, in bytes; a larger batch takes several syncs.
-const FRAME_SIZE: usize = 8 << 20;
+/// Largest frame that is written, in bytes; a larger batch is synced in several frames.
+const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// A segment and the last index that it contributed.
+/// A segment file and the highest entry index in it.
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct Segment {
     sequence: u64,
-    last: number::Index,
+    last_index: number::Index,
 }
 
-/// An open data folder.
+/// A data folder open for writing.
 #[derive(Debug)]
 pub struct Folder {
     files: Box<dyn files::Files>,
     identity: identity::Identity,
     hard: hard::State,
     last: position::Position,
-    kept: Vec<Kept>,
-    size: u64,
+    segments: Vec<Segment>,
+    segment_bytes: u64,
     failed: bool,
 }
 
 impl Folder {
-    /// Opens a folder; an empty one gets an identity with the id `drawn`.
+    /// Opens a folder and reads its content; an empty folder gets the replica id `new_id`.
     ///
     /// # Errors
     ///
@@ -40,12 +40,12 @@
     pub fn open(
         mut files: Box<dyn files::Files>,
         instance: &id::Instance,
-        drawn: replica::Id,
+        new_id: replica::Id,
     ) -> Result<(Self, recovered::Recovered), error::Error> {
         let names = files.list().map_err(error::Error::io("folder", "list"))?;
         let identity = match read_identity(files.as_ref(), &names)? {
             Some(found) => found,
-            None => create_identity(files.as_mut(), &names, instance, drawn)?,
+            None => create_identity(files.as_mut(), &names, instance, new_id)?,
         };
         if identity.instance != *instance {
             return Err(error::Error::Foreign {
@@ -53,31 +53,31 @@
                 wanted: instance.to_string(),
             });
         }
-        remove_unfinished(files.as_mut(), &names)?;
+        remove_temporary(files.as_mut(), &names)?;
         let index = snapshots::latest(&names);
         let snapshot = index.map(|index| snapshots::read(files.as_ref(), index));
         let snapshot = snapshot.transpose()?;
         let segments = reader::read(files.as_ref(), &names, &identity)?;
-        let joined = reader::Joined::new(&segments, snapshot.as_deref())?;
-        let cut = renew_tail(files.as_mut(), &segments)?;
+        let log = reader::Log::new(&segments, snapshot.as_deref())?;
+        let truncated_bytes = rewrite_last_segment(files.as_mut(), &segments)?;
         let mut folder = Self {
             files,
             identity: identity.clone(),
-            hard: joined.hard,
-            last: joined.last(),
-            kept: kept(&segments),
-            size: 0,
+            hard: log.hard,
+            last: log.last(),
+            segments: to_segments(&segments),
+            segment_bytes: 0,
             failed: false,
         };
-        // Each opening begins a segment, so that a cut tail stays the last thing
-        // that was ever written to its file.
-        folder.begin_segment(joined.discarded)?;
+        // Each opening starts a new segment, so that no data is ever appended to a
+        // segment whose tail was truncated.
+        folder.begin_segment(log.discarded)?;
         let recovered = recovered::Recovered {
             identity,
-            hard: joined.hard,
+            hard: log.hard,
             snapshot,
-            entries: joined.entries,
-            truncated_bytes: cut,
+            entries: log.entries,
+            truncated_bytes,
         };
         Ok((folder, recovered))
     }
@@ -88,13 +88,13 @@
         &self.identity
     }
 
-    /// Whether a write failed, so that nothing is taken any more.
+    /// Whether a write has failed; all later writes are then refused.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.failed
     }
 
-    /// Records the group that this replica belongs to.
+    /// Stores the group that this replica belongs to.
     ///
     /// # Errors
     ///
@@ -103,27 +103,28 @@
         let mut identity = self.identity.clone();
         identity.formed = Some(formed);
         let written = write_identity(self.files.as_mut(), &identity);
-        self.settle(written)?;
+        self.note_failure(written)?;
         self.identity = identity;
         Ok(())
     }
 
-    /// Makes a batch of writes durable, with one sync if it holds no snapshot.
+    /// Makes a batch of writes durable, with one sync if it contains no snapshot.
     ///
     /// # Errors
     ///
-    /// A write or sync failed. Nothing of the batch may be acknowledged, and
-    /// the folder takes nothing more: after a failed sync the operating system
-    /// may report success for data that it has dropped.
+    /// A write or sync failed. No write of the batch may be acknowledged, and the
+    /// folder refuses all later writes: after a failed fsync the operating system
+    /// may report success for data that it has discarded.
     pub fn write(&mut self, batch: &[write::Write]) -> Result<(), error::Error> {
         if self.failed {
             return Err(error::Error::Failed);
         }
         let written = self.write_batch(batch);
-        self.settle(written)
+        self.note_failure(written)
     }
 
-    fn settle<T>(&mut self, outcome: Result<T, error::Error>) -> Result<T, error::Error> {
+    /// Records a failure, so that `write` refuses all later batches.
+    fn note_failure<T>(&mut self, outcome: Result<T, error::Error>) -> Result<T, error::Error> {
         self.failed |= outcome.is_err();
         outcome
     }
@@ -137,35 +138,36 @@
                 pending.push(record::Record::Hard(hard));
             }
             if let Some(snapshot) = &write.snapshot {
-                self.write_records(&mut pending)?;
+                self.flush_records(&mut pending)?;
                 snapshots::write(self.files.as_mut(), snapshot)?;
                 if write.reset {
                     self.last = snapshot.position;
                     self.begin_segment(true)?;
                 }
-                self.drop_before(snapshot.position.index)?;
+                self.remove_covered(snapshot.position.index)?;
             }
             for entry in &write.entries {
                 self.last = entry.position;
                 size += entry.size();
                 pending.push(record::Record::Entry(entry.clone()));
-                if size >= FRAME_SIZE {
+                if size >= MAX_FRAME_BYTES {
                     size = 0;
-                    self.write_records(&mut pending)?;
+                    self.flush_records(&mut pending)?;
                 }
             }
         }
-        self.write_records(&mut pending)
+        self.flush_records(&mut pending)
     }
 
-    fn write_records(&mut self, pending: &mut Vec<record::Record>) -> Result<(), error::Error> {
+    /// Writes pending records as one frame and starts a new segment if this one is full.
+    fn flush_records(&mut self, pending: &mut Vec<record::Record>) -> Result<(), error::Error> {
         if pending.is_empty() {
             return Ok(());
         }
         let payload = postcard::to_stdvec(pending).expect("records are always encodable");
         pending.clear();
         self.write_frame(&payload)?;
-        if self.size >= SEGMENT_SIZE {
+        if self.segment_bytes >= SEGMENT_BYTES {
             self.begin_segment(false)?;
         }
         Ok(())
@@ -174,22 +176,29 @@
     fn write_frame(&mut self, payload: &[u8]) -> Result<(), error::Error> {
         let bytes = frame::encode(payload);
         let last = self.last.index;
-        let current = self.kept.last_mut().expect("a segment is always open");
-        // An entry that is replaced later may have had a higher index.
-        current.last = current.last.max(last);
+        let current = self.segments.last_mut().expect("a segment is always open");
+        // The segment may contain replaced entries with a higher index.
+        current.last_index = current.last_index.max(last);
         let name = name::segment(current.sequence);
         let wrap = |action| error::Error::io(&name, action);
         self.files.append(&name, &bytes).map_err(wrap("write"))?;
         self.files.sync(&name).map_err(wrap("sync"))?;
-        self.size += bytes.len() as u64;
+        self.segment_bytes += bytes.len() as u64;
         Ok(())
     }
 
+    /// Starts a new segment with a header; `reset` drops the entries of earlier segments.
     fn begin_segment(&mut self, reset: bool) -> Result<(), error::Error> {
-        let sequence = self.kept.last().map_or(1, |kept| kept.sequence + 1);
-        let last = self.last.index;
-        self.kept.push(Kept { sequence, last });
-        self.size = 0;
+        let sequence = self
+            .segments
+            .last()
+            .map_or(1, |segment| segment.sequence + 1);
+        let last_index = self.last.index;
+        self.segments.push(Segment {
+            sequence,
+            last_index,
+        });
+        self.segment_bytes = 0;
         let header = record::Header {
             version: record::VERSION,
             replica: self.identity.replica,
@@ -204,8 +213,8 @@
         self.files.sync_folder().map_err(wrap)
     }
 
-    /// Removes snapshots and segments that the snapshot at `index` replaces.
-    fn drop_before(&mut self, index: number::Index) -> Result<(), error::Error> {
+    /// Removes the snapshots and segments that the snapshot at `index` covers.
+    fn remove_covered(&mut self, index: number::Index) -> Result<(), error::Error> {
         let names = self.files.list();
         let names = names.map_err(error::Error::io("folder", "list"))?;
         let older = |name: &&String| name::snapshot_index(name).is_some_and(|at| at < index);
@@ -213,13 +222,13 @@
             let wrap = error::Error::io(name, "remove");
             self.files.remove(name).map_err(wrap)?;
         }
-        while self.kept.len() > 1 && self.kept[0].last <= index {
-            let name = name::segment(self.kept[0].sequence);
+        while self.segments.len() > 1 && self.segments[0].last_index <= index {
+            let name = name::segment(self.segments[0].sequence);
             let wrap = error::Error::io(&name, "remove");
             self.files.remove(&name).map_err(wrap)?;
-            self.kept.remove(0);
-            // One after the other, lest a crash leave a gap between segments,
-            // which would look like a lost one.
+            self.segments.remove(0);
+            // Each removal is synced before the next, because a crash could otherwise
+            // leave a gap between segments, which is reported as a missing segment.
             let wrap = error::Error::io("folder", "sync");
             self.files.sync_folder().map_err(wrap)?;
         }
@@ -227,20 +236,21 @@
     }
 }
 
-fn kept(segments: &reader::Segments) -> Vec<Kept> {
+fn to_segments(segments: &reader::Segments) -> Vec<Segment> {
     let list = segments.list.iter().map(|segment| {
         let entries = segment.records.iter().filter_map(|record| match record {
             record::Record::Entry(entry) => Some(entry.position.index),
             record::Record::Hard(_) => None,
         });
-        Kept {
+        Segment {
             sequence: segment.header.sequence,
-            last: entries.max().unwrap_or(segment.header.base.index),
+            last_index: entries.max().unwrap_or(segment.header.base.index),
         }
     });
     list.collect()
 }
 
+/// Reads the identity, if the folder has one.
 pub(crate) fn read_identity(
     files: &dyn files::Files,
     names: &[String],
@@ -254,22 +264,22 @@
         .ok_or_else(|| error::Error::damaged(name, 0, "the checksum is wrong"))?;
     postcard::from_bytes(payload)
         .map(Some)
-        .map_err(|_cause| error::Error::damaged(name, 0, "it cannot be understood"))
+        .map_err(|_cause| error::Error::damaged(name, 0, "the identity cannot be decoded"))
 }
 
 fn create_identity(
     files: &mut dyn files::Files,
     names: &[String],
     instance: &id::Instance,
-    drawn: replica::Id,
+    new_id: replica::Id,
 ) -> Result<identity::Identity, error::Error> {
-    // The identity is written before anything else. Data without it means that
-    // it was removed, and with a new one the replica would forget its votes.
+    // The identity is the first file written. If data exists without it, it was
+    // removed; with a new identity the replica would forget its votes.
     if let Some(found) = names.iter().find(|name| name::is_data(name)) {
-        return Err(error::Error::damaged(found, 0, name::NO_IDENTITY));
+        return Err(error::Error::damaged(found, 0, name::IDENTITY_MISSING));
     }
     let identity = identity::Identity {
-        replica: drawn,
+        replica: new_id,
         instance: instance.clone(),
         formed: None,
     };
@@ -282,13 +292,16 @@
     identity: &identity::Identity,
 ) -> Result<(), error::Error> {
     let payload = postcard::to_stdvec(identity).expect("an identity is always encodable");
-    snapshots::replace(files, name::IDENTITY, &frame::encode(&payload))
+    snapshots::replace_file(files, name::IDENTITY, &frame::encode(&payload))
 }
 
-fn remove_unfinished(files: &mut dyn files::Files, names: &[String]) -> Result<(), error::Error> {
-    for name in names.iter().filter(|name| name.ends_with(name::UNFINISHED)) {
-        let known = files.list().map_err(error::Error::io(name, "list"))?;
-        if known.contains(name) {
+fn remove_temporary(files: &mut dyn files::Files, names: &[String]) -> Result<(), error::Error> {
+    for name in names
+        .iter()
+        .filter(|name| name.ends_with(name::TEMPORARY_SUFFIX))
+    {
+        let current_names = files.list().map_err(error::Error::io(name, "list"))?;
+        if current_names.contains(name) {
             files
                 .remove(name)
                 .map_err(error::Error::io(name, "remove"))?;
@@ -297,16 +310,16 @@
     Ok(())
 }
 
-/// Writes the last segment anew, without a torn tail.
+/// Rewrites and syncs the last segment without its torn tail; returns the tail's length.
 ///
-/// A process that was killed between a write and its sync, or whose sync
-/// failed, leaves data that can be read but is not on the disk. Taken for
-/// durable and acknowledged, it would be gone after the next loss of power.
-fn renew_tail(
+/// A process that was killed between a write and its sync, or whose sync failed,
+/// leaves data in the page cache that can be read but is not durable. If the
+/// replica acknowledged this data, the next power loss would lose it.
+fn rewrite_last_segment(
     files: &mut dyn files::Files,
     segments: &reader::Segments,
 ) -> Result<u64, error::Error> {
-    if let Some(name) = &segments.stillborn {
+    if let Some(name) = &segments.without_header {
         let wrap = error::Error::io(name, "remove");
         files.remove(name).map_err(wrap)?;
     }
@@ -315,8 +328,8 @@
     };
     let name = &segment.name;
     let bytes = files.read(name).map_err(error::Error::io(name, "read"))?;
-    let whole = usize::try_from(segment.whole).unwrap_or(usize::MAX);
-    let whole = bytes.get(..whole).unwrap_or(&bytes);
-    snapshots::replace(files, name, whole)?;
-    Ok(segment.torn)
+    let intact_length = usize::try_from(segment.intact_bytes).unwrap_or(usize::MAX);
+    let intact = bytes.get(..intact_length).unwrap_or(&bytes);
+    snapshots::replace_file(files, name, intact)?;
+    Ok(segment.torn_bytes)
 }
--- a/crates/cranberrygap-storage/src/frame.rs
+++ b/crates/cranberrygap-storage/src/frame.rs
@@ -1,40 +1,41 @@
-//! Checksummed frames, the unit in which files are written and synced.
+//! Checksummed frames, the unit in which segments are written and synced.
 
-/// Begins each frame, so that one can be found behind a damaged one.
+/// First bytes of each frame; locates the next frame after a damaged one.
 const MARKER: [u8; 4] = *b"cbgF";
 
-/// Marker, length, checksum of the payload, and checksum of these three.
+/// Size of a frame header: marker, payload length, payload checksum and header
+/// checksum, 4 bytes each.
 ///
-/// The head has a checksum of its own, because a length that went bad could else
-/// point behind the file's end, and an acknowledged frame would look torn.
-pub const HEAD: usize = 16;
+/// The header has a checksum of its own. Without it, a corrupted length could point
+/// past the end of the file, and an acknowledged frame would look torn.
+pub const HEADER_BYTES: usize = 16;
 
-/// Bytes of the head that its checksum covers.
-const COVERED: usize = 12;
+/// Size of the part of the header that the header checksum covers.
+const CHECKSUMMED_BYTES: usize = 12;
 
-/// Largest payload of a frame, in bytes; bounds what a damaged length can ask.
-pub const LARGEST: usize = 256 << 20;
+/// Maximum payload of a frame, in bytes; limits the size that a corrupted length can claim.
+pub const MAX_PAYLOAD_BYTES: usize = 256 << 20;
 
-/// What a disk writes at once. After a power cut a file may have its new length
-/// while some of these hold zeros still.
-const SECTOR: usize = 512;
+/// Unit in which a disk writes. After a power loss a file may have its new length
+/// while some of its sectors still contain zeros.
+const SECTOR_BYTES: usize = 512;
 
-/// What stands at an offset.
+/// Status of the frame at an offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found<'bytes> {
-    /// A whole frame with this payload.
-    Whole(&'bytes [u8]),
-    /// What a write leaves that a crash cut short.
+pub enum Status<'bytes> {
+    /// Complete frame with a valid checksum, and its payload.
+    Intact(&'bytes [u8]),
+    /// Incomplete frame, as a crash during a write leaves it.
     Torn,
-    /// Bytes that no crash leaves: they were whole once, and went bad.
+    /// Corrupted data that a crash during a write cannot explain.
     Damaged,
 }
 
-/// A payload with its head before it.
+/// Encodes a payload as a frame.
 #[must_use]
 pub fn encode(payload: &[u8]) -> Vec<u8> {
     let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
-    let mut bytes = Vec::with_capacity(HEAD + payload.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.extend_from_slice(&MARKER);
     bytes.extend_from_slice(&length.to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
@@ -44,75 +45,76 @@
     bytes
 }
 
-/// The payload of the frame that begins at `offset`, if it is whole.
+/// Payload of the frame at `offset`, if the frame is intact.
 #[must_use]
 pub fn decode(bytes: &[u8], offset: usize) -> Option<&[u8]> {
-    match look(bytes, offset) {
-        Found::Whole(payload) => Some(payload),
-        Found::Torn | Found::Damaged => None,
+    match inspect(bytes, offset) {
+        Status::Intact(payload) => Some(payload),
+        Status::Torn | Status::Damaged => None,
     }
 }
 
-/// Tells whether a frame begins at `offset`, and if not, why.
+/// Classifies the frame at `offset` as intact, torn or damaged.
 ///
-/// A torn frame was never acknowledged and may be cut. A bit that went bad in the
-/// last acknowledged frame must not pass for a torn one; the change in it would be
-/// lost, and with the same on a second replica it would be lost for good. A frame
-/// is torn only if the file ends inside it, it begins with zeros, or a sector of it
-/// holds zeros.
+/// A torn frame was never acknowledged and may be truncated. A bit flip in the last
+/// acknowledged frame must not be classified as a torn write: the change in it would
+/// be lost, permanently if a second replica had the same fault. A frame is torn only
+/// if the file ends inside it, it begins with zeros, or a sector of it contains only
+/// zeros.
 #[must_use]
-pub fn look(bytes: &[u8], offset: usize) -> Found<'_> {
+pub fn inspect(bytes: &[u8], offset: usize) -> Status<'_> {
     let rest = bytes.get(offset..).unwrap_or_default();
-    if rest.len() < HEAD {
-        return Found::Torn;
+    if rest.len() < HEADER_BYTES {
+        return Status::Torn;
     }
-    // Zeros at the very beginning: this part of the write never reached the disk.
-    // The marker has none, and a bit that goes bad does not make one.
+    // A zero in the first byte means that this part of the write never reached the
+    // disk: the marker contains no zero, and a single bit flip cannot produce one.
     if rest[0] == 0 {
-        return Found::Torn;
+        return Status::Torn;
     }
-    let Some(length) = length(&rest[..HEAD]) else {
-        return unless_torn(bytes, offset, offset + HEAD);
+    let Some(length) = payload_length(&rest[..HEADER_BYTES]) else {
+        return classify_damage(bytes, offset, offset + HEADER_BYTES);
     };
-    let Some(payload) = rest.get(HEAD..HEAD + length) else {
-        return Found::Torn;
+    let Some(payload) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else {
+        return Status::Torn;
     };
-    if word(rest, 8) == crc32fast::hash(payload) {
-        return Found::Whole(payload);
+    if read_u32(rest, 8) == crc32fast::hash(payload) {
+        return Status::Intact(payload);
     }
-    unless_torn(bytes, offset, offset + HEAD + length)
+    classify_damage(bytes, offset, offset + HEADER_BYTES + length)
 }
 
-/// The payload's length, if the head is whole.
-fn length(head: &[u8]) -> Option<usize> {
-    let whole =
-        head[..MARKER.len()] == MARKER && word(head, COVERED) == crc32fast::hash(&head[..COVERED]);
-    let length = usize::try_from(word(head, MARKER.len())).ok()?;
-    (whole && length <= LARGEST).then_some(length)
+/// Payload length from a frame header, if the header is valid.
+fn payload_length(header: &[u8]) -> Option<usize> {
+    let valid = header[..MARKER.len()] == MARKER
+        && read_u32(header, CHECKSUMMED_BYTES) == crc32fast::hash(&header[..CHECKSUMMED_BYTES]);
+    let length = usize::try_from(read_u32(header, MARKER.len())).ok()?;
+    (valid && length <= MAX_PAYLOAD_BYTES).then_some(length)
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
-    let mut word = [0; 4];
-    word.copy_from_slice(&bytes[at..at + 4]);
-    u32::from_le_bytes(word)
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
+    let mut value = [0; 4];
+    value.copy_from_slice(&bytes[at..at + 4]);
+    u32::from_le_bytes(value)
 }
 
-fn unless_torn(bytes: &[u8], start: usize, end: usize) -> Found<'_> {
-    let mut from = start;
-    while from < end {
-        let border = (from / SECTOR + 1) * SECTOR;
-        let until = border.min(end);
-        if bytes[from..until].iter().all(|byte| *byte == 0) {
-            return Found::Torn;
+/// Returns `Torn` if a sector's part of the range contains only zeros, else `Damaged`.
+fn classify_damage(bytes: &[u8], start: usize, end: usize) -> Status<'_> {
+    let mut position = start;
+    while position < end {
+        let sector_end = (position / SECTOR_BYTES + 1) * SECTOR_BYTES;
+        let until = sector_end.min(end);
+        if bytes[position..until].iter().all(|byte| *byte == 0) {
+            return Status::Torn;
         }
-        from = until;
+        position = until;
     }
-    Found::Damaged
+    Status::Damaged
 }
 
-/// Offset of the first whole frame after `offset`, if there is one.
+/// Offset of the first intact frame after `offset`, if any.
 #[must_use]
-pub fn find_after(bytes: &[u8], offset: usize) -> Option<usize> {
+pub fn find_intact_after(bytes: &[u8], offset: usize) -> Option<usize> {
     let rest = bytes.get(offset + 1..)?;
     let candidates = rest.windows(MARKER.len()).enumerate();
     candidates
--- a/crates/cranberrygap-storage/src/lib.rs
+++ b/crates/cranberrygap-storage/src/lib.rs
@@ -1,8 +1,8 @@
 //! The data folder of a control replica: identity, log segments, snapshots.
 //!
-//! Everything is checksummed and counts only once it is synced. A torn tail is
-//! cut, since nothing in it was acknowledged; any other damage stops the replica
-//! with a message that names the file and the offset.
+//! All files are checksummed, and data counts as stored only after fsync. A torn
+//! tail is truncated, since nothing in it was acknowledged. Any other damage stops
+//! the replica with an error that names the file and the offset.
 
 pub mod check;
 pub mod disk;
--- a/crates/cranberrygap-storage/src/name.rs
+++ b/crates/cranberrygap-storage/src/name.rs
@@ -2,45 +2,45 @@
 
 use cranberrygap_model::number;
 
-/// Holds the process's lock.
+/// File that a process locks while it uses the folder.
 pub(crate) const LOCK: &str = "lock";
-/// Holds the replica's identity.
+/// File with the replica's identity.
 pub(crate) const IDENTITY: &str = "identity";
-/// Ending of a file that is being written and counts for nothing.
-pub(crate) const UNFINISHED: &str = ".tmp";
+/// Suffix of an incomplete file, which is removed at the next start.
+pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
 
 const SEGMENT: (&str, &str) = ("log-", ".seg");
 const SNAPSHOT: (&str, &str) = ("snapshot-", ".snap");
 
-/// What is wrong with data whose identity is gone.
-pub(crate) const NO_IDENTITY: &str = "the file `identity` is missing";
+/// Fault of a folder that has data but no identity.
+pub(crate) const IDENTITY_MISSING: &str = "the file `identity` is missing";
 
-/// Whether a file with that name holds a part of the log or the state.
+/// Whether the name is that of a log segment or a snapshot.
 pub(crate) fn is_data(name: &str) -> bool {
     segment_sequence(name).is_some() || snapshot_index(name).is_some()
 }
 
-/// Name of a log segment.
+/// File name of a log segment.
 pub(crate) fn segment(sequence: u64) -> String {
     format!("{}{sequence:016x}{}", SEGMENT.0, SEGMENT.1)
 }
 
-/// Sequence of a log segment with that name.
+/// Sequence number in the file name of a log segment.
 pub(crate) fn segment_sequence(name: &str) -> Option<u64> {
-    number(name, SEGMENT)
+    parse_number(name, SEGMENT)
 }
 
-/// Name of a snapshot.
+/// File name of a snapshot.
 pub(crate) fn snapshot(index: number::Index) -> String {
     format!("{}{:016x}{}", SNAPSHOT.0, index.0, SNAPSHOT.1)
 }
 
-/// Index of a snapshot with that name.
+/// Index in the file name of a snapshot.
 pub(crate) fn snapshot_index(name: &str) -> Option<number::Index> {
-    number(name, SNAPSHOT).map(number::Index)
+    parse_number(name, SNAPSHOT).map(number::Index)
 }
 
-fn number(name: &str, (head, tail): (&str, &str)) -> Option<u64> {
-    let digits = name.strip_prefix(head)?.strip_suffix(tail)?;
+fn parse_number(name: &str, (prefix, suffix): (&str, &str)) -> Option<u64> {
+    let digits = name.strip_prefix(prefix)?.strip_suffix(suffix)?;
     u64::from_str_radix(digits, 16).ok()
 }
--- a/crates/cranberrygap-storage/src/reader.rs
+++ b/crates/cranberrygap-storage/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads log segments and joins them with the snapshot.
+//! Reads log segments and combines them with the snapshot.
 
 use cranberrygap_agreement::{entry, hard, position, snapshot};
 use cranberrygap_model::number;
@@ -6,27 +6,27 @@
 
 use crate::{error, files, frame, identity, name, record};
 
-/// One segment as read.
+/// Content of one segment.
 #[derive(Debug)]
 pub(crate) struct Segment {
     pub(crate) name: String,
     pub(crate) header: record::Header,
     pub(crate) records: Vec<record::Record>,
-    /// Length of what is whole.
-    pub(crate) whole: u64,
-    /// Length of a torn tail.
-    pub(crate) torn: u64,
+    /// Length of the intact part, in bytes.
+    pub(crate) intact_bytes: u64,
+    /// Length of the torn tail, in bytes.
+    pub(crate) torn_bytes: u64,
 }
 
-/// All segments; the last one may have a torn tail.
+/// Segments in order; the last one may have a torn tail.
 #[derive(Debug, Default)]
 pub(crate) struct Segments {
     pub(crate) list: Vec<Segment>,
-    /// A last segment whose header never became whole.
-    pub(crate) stillborn: Option<String>,
+    /// File name of a last segment whose header is torn.
+    pub(crate) without_header: Option<String>,
 }
 
-/// Reads all segments in `names`.
+/// Reads and checks all segments in `names`.
 pub(crate) fn read(
     files: &dyn files::Files,
     names: &[String],
@@ -50,10 +50,10 @@
         }
         let bytes = files.read(&name).map_err(error::Error::io(&name, "read"))?;
         let last = at + 1 == sequences.len();
-        let torn = frame::look(&bytes, 0) == frame::Found::Torn;
-        if last && torn && frame::find_after(&bytes, 0).is_none() {
-            // Term and vote may stand in the header only. It can be torn while
-            // an earlier segment holds them, or before there was a vote.
+        let torn = frame::inspect(&bytes, 0) == frame::Status::Torn;
+        if last && torn && frame::find_intact_after(&bytes, 0).is_none() {
+            // The term and vote may be stored in the header only. A torn header is
+            // safe if an earlier segment has them, or if no group was formed yet.
             if at == 0 && identity.formed.is_some() {
                 return Err(error::Error::damaged(
                     &name,
@@ -61,7 +61,7 @@
                     "the header's checksum is wrong",
                 ));
             }
-            segments.stillborn = Some(name);
+            segments.without_header = Some(name);
             break;
         }
         let segment = parse(name, &bytes, last)?;
@@ -83,19 +83,19 @@
         return Err(error::Error::damaged(
             &name,
             0,
-            "the form is of another version",
+            "the format version is not supported",
         ));
     }
     let mut records = Vec::new();
-    let mut offset = next(bytes, 0);
+    let mut offset = next_offset(bytes, 0);
     while offset < bytes.len() {
-        let found = frame::look(bytes, offset);
-        if !matches!(found, frame::Found::Whole(_)) {
-            // A crash leaves the last write half done. Nothing in it was
-            // acknowledged, and no later write was begun before it was synced.
-            // A whole frame behind it means that synced data was damaged.
-            let torn = found == frame::Found::Torn;
-            if torn && last && frame::find_after(bytes, offset).is_none() {
+        let status = frame::inspect(bytes, offset);
+        if !matches!(status, frame::Status::Intact(_)) {
+            // A crash can leave the last write incomplete. Its content was never
+            // acknowledged, and each write is synced before the next one starts.
+            // An intact frame after it means that synced data was damaged.
+            let torn = status == frame::Status::Torn;
+            if torn && last && frame::find_intact_after(bytes, offset).is_none() {
                 break;
             }
             return Err(error::Error::damaged(
@@ -106,57 +106,59 @@
         }
         let more: Vec<record::Record> = decode(&name, bytes, offset)?;
         records.extend(more);
-        offset = next(bytes, offset);
+        offset = next_offset(bytes, offset);
     }
     Ok(Segment {
         name,
         header,
         records,
-        whole: offset as u64,
-        torn: (bytes.len() - offset) as u64,
+        intact_bytes: offset as u64,
+        torn_bytes: (bytes.len() - offset) as u64,
     })
 }
 
-fn next(bytes: &[u8], offset: usize) -> usize {
+/// Offset after the frame at `offset`.
+fn next_offset(bytes: &[u8], offset: usize) -> usize {
     let payload = frame::decode(bytes, offset).map_or(0, <[u8]>::len);
-    offset + frame::HEAD + payload
+    offset + frame::HEADER_BYTES + payload
 }
 
 fn decode<T: DeserializeOwned>(name: &str, bytes: &[u8], offset: usize) -> Result<T, error::Error> {
     let payload = frame::decode(bytes, offset)
         .ok_or_else(|| error::Error::damaged(name, offset, "a frame's checksum is wrong"))?;
     postcard::from_bytes(payload)
-        .map_err(|_cause| error::Error::damaged(name, offset, "a frame cannot be understood"))
+        .map_err(|_cause| error::Error::damaged(name, offset, "a frame cannot be decoded"))
 }
 
-/// The log that the segments make up.
+/// The log that results from replaying the segments.
 #[derive(Debug, Default)]
-pub(crate) struct Joined {
+pub(crate) struct Log {
     pub(crate) hard: hard::State,
     pub(crate) base: position::Position,
     pub(crate) entries: Vec<entry::Entry>,
-    /// Whether the segments' entries were dropped for the snapshot's sake.
+    /// Whether the entries of the segments were dropped because of the snapshot.
     pub(crate) discarded: bool,
 }
 
-impl Joined {
-    /// Replays all segments and drops what the snapshot contains.
+impl Log {
+    /// Replays all segments and drops the entries that the snapshot contains.
     pub(crate) fn new(
         segments: &Segments,
         snapshot: Option<&snapshot::Snapshot>,
     ) -> Result<Self, error::Error> {
-        let mut joined = Self::default();
+        let mut log = Self::default();
         for (at, segment) in segments.list.iter().enumerate() {
-            joined.begin(segment, at == 0)?;
+            log.begin_segment(segment, at == 0)?;
             for record in &segment.records {
-                joined.take(segment, record)?;
+                log.apply(segment, record)?;
             }
         }
-        joined.join(segments, snapshot)?;
-        Ok(joined)
+        log.apply_snapshot(segments, snapshot)?;
+        Ok(log)
     }
 
-    fn begin(&mut self, segment: &Segment, first: bool) -> Result<(), error::Error> {
+    /// Applies a segment header and checks that the segment continues the log.
+    fn begin_segment(&mut self, segment: &Segment, first: bool) -> Result<(), error::Error> {
         let header = &segment.header;
         self.hard = header.hard;
         if first || header.reset {
@@ -171,7 +173,8 @@
         Ok(())
     }
 
-    fn take(&mut self, segment: &Segment, record: &record::Record) -> Result<(), error::Error> {
+    /// Applies a record; an entry replaces all entries from its index on.
+    fn apply(&mut self, segment: &Segment, record: &record::Record) -> Result<(), error::Error> {
         let entry = match record {
             record::Record::Hard(hard) => {
                 self.hard = *hard;
@@ -181,8 +184,8 @@
         };
         let index = entry.position.index.0;
         if (1..=self.base.index.0).contains(&index) {
-            // It replaced entries of a segment that a snapshot made needless;
-            // `join` sees to it that the snapshot reaches this far.
+            // The entry replaced entries of a segment that was removed after a
+            // snapshot; `apply_snapshot` checks that the snapshot covers the gap.
             self.entries.clear();
             self.base = position::Position {
                 term: number::Term(0),
@@ -190,12 +193,12 @@
             };
         }
         if index <= self.base.index.0 || index > self.last().index.0 + 1 {
-            let whole = usize::try_from(segment.whole).unwrap_or(usize::MAX);
+            let offset = usize::try_from(segment.intact_bytes).unwrap_or(usize::MAX);
             let what = format!("entry {index} does not follow {}", self.last().index);
-            return Err(error::Error::damaged(&segment.name, whole, &what));
+            return Err(error::Error::damaged(&segment.name, offset, &what));
         }
-        let keep = usize::try_from(index - self.base.index.0 - 1).unwrap_or(usize::MAX);
-        self.entries.truncate(keep);
+        let retained = usize::try_from(index - self.base.index.0 - 1).unwrap_or(usize::MAX);
+        self.entries.truncate(retained);
         self.entries.push(entry.clone());
         Ok(())
     }
@@ -206,7 +209,8 @@
             .map_or(self.base, |entry| entry.position)
     }
 
-    fn join(
+    /// Drops the entries that the snapshot contains, or all if they conflict with it.
+    fn apply_snapshot(
         &mut self,
         segments: &Segments,
         snapshot: Option<&snapshot::Snapshot>,
@@ -218,10 +222,11 @@
             let file = first.unwrap_or_default();
             return Err(error::Error::damaged(file, 0, &what));
         }
-        let mut known = self.entries.iter().map(|entry| entry.position);
-        // A snapshot from the leader was written, but the crash came before the
-        // log was begun anew. What the old log holds disagrees or ends earlier.
-        let agrees = end == self.base || known.any(|position| position == end);
+        let mut positions = self.entries.iter().map(|entry| entry.position);
+        // If the log does not contain the snapshot's position, a crash occurred after
+        // a snapshot from the leader was written and before the log was restarted. The
+        // old log then conflicts with the snapshot or ends before it.
+        let agrees = end == self.base || positions.any(|position| position == end);
         if agrees {
             self.entries
                 .retain(|entry| entry.position.index > end.index);
--- a/crates/cranberrygap-storage/src/record.rs
+++ b/crates/cranberrygap-storage/src/record.rs
@@ -1,33 +1,33 @@
-//! What the log segments hold.
+//! Records in log segments.
 
 use cranberrygap_agreement::{entry, hard, position, replica};
 use serde::{Deserialize, Serialize};
 
-/// Version of the segments' form.
+/// Version of the segment file format.
 pub const VERSION: u32 = 1;
 
 /// First frame of a segment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Version of the form.
+    /// Version of the segment file format.
     pub version: u32,
-    /// Replica that wrote it.
+    /// Replica that wrote the segment.
     pub replica: replica::Id,
-    /// Number of the segment.
+    /// Sequence number of the segment.
     pub sequence: u64,
-    /// Position that the next entry follows.
+    /// Position of the last entry when the segment was created.
     pub base: position::Position,
-    /// Whether all entries of earlier segments are dropped.
+    /// Whether a restart drops all entries of earlier segments.
     pub reset: bool,
-    /// Term and vote when the segment was begun.
+    /// Term and vote when the segment was created.
     pub hard: hard::State,
 }
 
-/// One record; a frame holds a list of them.
+/// A record; a frame contains a list of records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// New term or vote.
     Hard(hard::State),
-    /// An entry; replaces all from its index on.
+    /// Log entry; replaces all entries from its index on.
     Entry(entry::Entry),
 }
--- a/crates/cranberrygap-storage/src/recovered.rs
+++ b/crates/cranberrygap-storage/src/recovered.rs
@@ -1,4 +1,4 @@
-//! What a folder holds when it is opened.
+//! Content of a folder when it is opened.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 
 use crate::identity;
 
-/// What a replica starts from.
+/// Stored state from which a replica starts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovered {
-    /// Who the folder belongs to.
+    /// Identity of the replica.
     pub identity: identity::Identity,
     /// Term and vote.
     pub hard: hard::State,
     /// Latest snapshot.
     pub snapshot: Option<Arc<snapshot::Snapshot>>,
-    /// Entries after it.
+    /// Log entries after the snapshot.
     pub entries: Vec<entry::Entry>,
-    /// Bytes of a torn tail, never acknowledged, that were cut.
+    /// Length of the torn tail that was truncated, in bytes; it was never acknowledged.
     pub truncated_bytes: u64,
 }
--- a/crates/cranberrygap-storage/src/snapshots.rs
+++ b/crates/cranberrygap-storage/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshot files: written, synced, renamed, and the folder synced.
+//! Snapshot files, written atomically and checked when read.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::{error, files, frame, name};
 
-/// Version of the form.
+/// Version of the snapshot file format.
 const VERSION: u32 = 1;
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     checksum: u32,
 }
 
-/// Writes a snapshot so that after a crash it is there whole or not at all.
+/// Writes a snapshot atomically: after a crash it is complete or absent.
 pub(crate) fn write(
     files: &mut dyn files::Files,
     snapshot: &snapshot::Snapshot,
@@ -37,25 +37,25 @@
     let header = postcard::to_stdvec(&header).expect("a header is always encodable");
     let mut bytes = frame::encode(&header);
     bytes.extend_from_slice(&snapshot.data);
-    replace(files, &name, &bytes)
+    replace_file(files, &name, &bytes)
 }
 
-/// Writes a file under a passing name, syncs it, renames it, syncs the folder.
-pub(crate) fn replace(
+/// Writes a file under a temporary name, syncs and renames it, then syncs the folder.
+pub(crate) fn replace_file(
     files: &mut dyn files::Files,
     name: &str,
     bytes: &[u8],
 ) -> Result<(), error::Error> {
-    let unfinished = format!("{name}{}", name::UNFINISHED);
-    let known = files.list().map_err(error::Error::io(name, "list"))?;
-    if known.contains(&unfinished) {
-        let wrap = error::Error::io(&unfinished, "remove");
-        files.remove(&unfinished).map_err(wrap)?;
+    let temporary = format!("{name}{}", name::TEMPORARY_SUFFIX);
+    let current_names = files.list().map_err(error::Error::io(name, "list"))?;
+    if current_names.contains(&temporary) {
+        let wrap = error::Error::io(&temporary, "remove");
+        files.remove(&temporary).map_err(wrap)?;
     }
-    let wrap = |action| error::Error::io(&unfinished, action);
-    files.append(&unfinished, bytes).map_err(wrap("write"))?;
-    files.sync(&unfinished).map_err(wrap("sync"))?;
-    files.rename(&unfinished, name).map_err(wrap("rename"))?;
+    let wrap = |action| error::Error::io(&temporary, action);
+    files.append(&temporary, bytes).map_err(wrap("write"))?;
+    files.sync(&temporary).map_err(wrap("sync"))?;
+    files.rename(&temporary, name).map_err(wrap("rename"))?;
     files.sync_folder().map_err(wrap("sync the folder of"))
 }
 
@@ -65,7 +65,7 @@
     indices.max()
 }
 
-/// Reads and checks a snapshot.
+/// Reads a snapshot and verifies its checksums.
 pub(crate) fn read(
     files: &dyn files::Files,
     index: number::Index,
@@ -76,11 +76,11 @@
     let payload =
         frame::decode(&bytes, 0).ok_or_else(|| damaged(0, "the header's checksum is wrong"))?;
     let header: Header = postcard::from_bytes(payload)
-        .map_err(|_cause| damaged(0, "the header cannot be understood"))?;
+        .map_err(|_cause| damaged(0, "the header cannot be decoded"))?;
     if header.version != VERSION {
-        return Err(damaged(0, "the form is of another version"));
+        return Err(damaged(0, "the format version is not supported"));
     }
-    let start = frame::HEAD + payload.len();
+    let start = frame::HEADER_BYTES + payload.len();
     let data = Bytes::from(bytes).slice(start..);
     if data.len() as u64 != header.length {
         return Err(damaged(start, "the length is wrong"));
--- a/crates/cranberrygap-storage/tests/recovery.rs
+++ b/crates/cranberrygap-storage/tests/recovery.rs
@@ -1,14 +1,14 @@
-//! What a restart finds after crashes, damage and failed writes.
+//! Recovery of a data folder after crashes, damage and failed writes.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod support;
 
 use cranberrygap_storage::{check, disk, error};
 
-/// The segment that is written to after the first opening.
+/// Segment that the first opening creates.
 const SEGMENT: &str = "log-0000000000000001.seg";
 
-/// What a disk writes at once.
+/// Unit in which a disk writes, in bytes.
 const SECTOR: usize = 512;
 
 #[test]
@@ -18,16 +18,19 @@
     folder.write(&[support::append(2, 1..=3)]).unwrap();
     folder.write(&[support::append(3, 3..=4)]).unwrap();
 
-    let (_, again) = support::open(&disk).unwrap();
+    let (_, reopened) = support::open(&disk).unwrap();
 
     assert!(first.entries.is_empty());
-    assert_eq!(support::found(&again), [(2, 1), (2, 2), (3, 3), (3, 4)]);
-    assert_eq!(again.hard.term.0, 3);
-    assert_eq!(again.identity, first.identity);
+    assert_eq!(
+        support::positions(&reopened),
+        [(2, 1), (2, 2), (3, 3), (3, 4)]
+    );
+    assert_eq!(reopened.hard.term.0, 3);
+    assert_eq!(reopened.identity, first.identity);
 }
 
-// The process dies in the middle of a write. The half record was never
-// acknowledged; it is cut, and the replica goes on.
+// The process dies during a write. The incomplete record was never acknowledged, so
+// it is truncated and the replica starts.
 #[test]
 fn torn_tail_is_cut() {
     let disk = support::Disk::default();
@@ -37,7 +40,7 @@
     disk.change(SEGMENT, |bytes| bytes.truncate(bytes.len() - 3));
 
     let report = check::read(&disk);
-    let (mut folder, again) = support::open(&disk).unwrap();
+    let (mut folder, reopened) = support::open(&disk).unwrap();
     folder.write(&[support::append(2, 4..=4)]).unwrap();
     let (_, last) = support::open(&disk).unwrap();
 
@@ -45,13 +48,13 @@
         report.torn_bytes > 0 && report.faults.is_empty(),
         "{report}"
     );
-    assert_eq!(again.truncated_bytes, report.torn_bytes);
-    assert_eq!(support::found(&again), [(2, 1), (2, 2), (2, 3)]);
-    assert_eq!(support::found(&last).last(), Some(&(2, 4)));
+    assert_eq!(reopened.truncated_bytes, report.torn_bytes);
+    assert_eq!(support::positions(&reopened), [(2, 1), (2, 2), (2, 3)]);
+    assert_eq!(support::positions(&last).last(), Some(&(2, 4)));
 }
 
-// The very last record was acknowledged, and then one bit of it goes bad. Taken
-// for a torn tail it would be cut without a word, and the change with it.
+// One bit of the last acknowledged record flips. If recovery took the record for a
+// torn tail, it would silently truncate an acknowledged change.
 #[test]
 fn damaged_last_record_is_not_taken_for_a_torn_one() {
     let disk = support::Disk::default();
@@ -69,8 +72,8 @@
     }
 }
 
-// Power fails during a write. The file has its new length, but a sector of it
-// was not written yet and holds zeros. Nothing in it was acknowledged.
+// Power fails during a write. The file has its new length, but one sector was not
+// written and contains zeros. Nothing in this write was acknowledged.
 #[test]
 fn unwritten_sector_is_a_torn_tail() {
     let disk = support::Disk::default();
@@ -82,14 +85,14 @@
         bytes[last_sector - SECTOR..last_sector].fill(0);
     });
 
-    let (_, again) = support::open(&disk).unwrap();
+    let (_, reopened) = support::open(&disk).unwrap();
 
-    assert!(again.truncated_bytes > 0);
-    assert_eq!(support::found(&again), [(2, 1), (2, 2), (2, 3)]);
+    assert!(reopened.truncated_bytes > 0);
+    assert_eq!(support::positions(&reopened), [(2, 1), (2, 2), (2, 3)]);
 }
 
-// A disk block goes bad under a record that was acknowledged. Going on without
-// it would lose an accepted change, so the replica stops and says where.
+// A disk block with an acknowledged record is corrupted. Recovery without the record
+// would lose an accepted change, so the replica stops and reports the location.
 #[test]
 fn damaged_middle_stops_with_file_and_offset() {
     let disk = support::Disk::default();
@@ -114,8 +117,8 @@
     assert!(report.to_string().contains("wrong: log-"));
 }
 
-// The only segment has nothing but its header, which holds the term and the vote,
-// and the header goes bad. Taken for a torn tail, the vote could be given again.
+// The only segment consists of its header, which stores the term and vote, and the
+// header is corrupted. If it were taken for a torn tail, the replica could vote twice.
 #[test]
 fn damaged_header_of_the_only_segment_stops() {
     let disk = support::Disk::default();
@@ -148,7 +151,7 @@
     );
 }
 
-// Someone removes a segment to make room. Accepted changes are gone with it.
+// An operator removes a segment to free disk space, which deletes accepted changes.
 #[test]
 fn missing_segment_stops() {
     let disk = support::Disk::default();
@@ -159,7 +162,7 @@
             .write(&[support::append(term, index - 9..=index)])
             .unwrap();
     }
-    disk.forget("log-0000000000000002.seg");
+    disk.delete("log-0000000000000002.seg");
 
     let error = support::open(&disk).unwrap_err();
 
@@ -169,14 +172,14 @@
     );
 }
 
-// The identity is removed, but the log is there. With a new id the replica would
-// forget what it voted under the old one.
+// The identity file is removed, but the log exists. With a new replica id the replica
+// would forget the votes that it gave under the old id.
 #[test]
 fn log_without_identity_stops() {
     let disk = support::Disk::default();
     let (mut folder, _) = support::open(&disk).unwrap();
     folder.write(&[support::append(2, 1..=3)]).unwrap();
-    disk.forget("identity");
+    disk.delete("identity");
 
     let error = support::open(&disk).unwrap_err();
 
@@ -197,16 +200,19 @@
     folder.write(&[support::append(2, 10..=12)]).unwrap();
     folder.write(&[support::snapshot(2, 11, false)]).unwrap();
 
-    let (_, again) = support::open(&disk).unwrap();
+    let (_, reopened) = support::open(&disk).unwrap();
 
-    assert_eq!(support::found(&again), [(2, 12)]);
-    assert_eq!(again.snapshot.unwrap().position, support::position(2, 11));
+    assert_eq!(support::positions(&reopened), [(2, 12)]);
+    assert_eq!(
+        reopened.snapshot.unwrap().position,
+        support::position(2, 11)
+    );
     assert_eq!(disk.names("snapshot-").len(), 1);
     assert!(!disk.names("log-").contains(&SEGMENT.to_owned()));
 }
 
-// The leader's snapshot is written, and the process dies before the log is begun
-// anew. What the old log holds disagrees with the snapshot and must not be read.
+// The process dies after it writes the leader's snapshot and before it restarts the
+// log. The old log conflicts with the snapshot and must not be used.
 #[test]
 fn log_that_disagrees_with_the_snapshot_is_dropped() {
     let disk = support::Disk::default();
@@ -214,17 +220,17 @@
     folder.write(&[support::append(2, 1..=20)]).unwrap();
     folder.write(&[support::snapshot(4, 15, false)]).unwrap();
 
-    let (mut folder, again) = support::open(&disk).unwrap();
+    let (mut folder, reopened) = support::open(&disk).unwrap();
     folder.write(&[support::append(5, 16..=17)]).unwrap();
     let (_, last) = support::open(&disk).unwrap();
 
-    assert!(again.entries.is_empty());
-    assert_eq!(support::found(&last), [(5, 16), (5, 17)]);
+    assert!(reopened.entries.is_empty());
+    assert_eq!(support::positions(&last), [(5, 16), (5, 17)]);
 }
 
-// Entries of a fallen leader are replaced in a later segment, below where that
-// segment began, and a snapshot makes the earlier segments needless. A restart
-// took this for damage and stopped a healthy replica.
+// A later segment replaces entries of a former leader below its own base, and a
+// snapshot lets the earlier segments be removed. Recovery must not report this as
+// damage, which would stop a healthy replica.
 #[test]
 fn entries_replaced_below_a_segment_that_is_gone_are_read() {
     let disk = support::Disk::default();
@@ -238,14 +244,14 @@
     }
     folder.write(&[support::snapshot(3, 25, false)]).unwrap();
 
-    let (_, again) = support::open(&disk).unwrap();
+    let (_, reopened) = support::open(&disk).unwrap();
 
     let expected: Vec<(u64, u64)> = (26..=30).map(|index| (3, index)).collect();
-    assert_eq!(support::found(&again), expected);
+    assert_eq!(support::positions(&reopened), expected);
 }
 
-// The disk is full. Nothing of the batch may be acknowledged, and nothing later
-// either, until a restart has found out what is there.
+// The disk is full. Neither this batch nor a later one may be acknowledged until a
+// restart has read the content of the disk.
 #[test]
 fn full_disk_stops_acknowledging() {
     let disk = support::Disk::default();
@@ -261,8 +267,8 @@
     assert!(folder.has_failed());
 }
 
-// After a failed sync the system reports the next one as done, although the data
-// never reached the disk. The folder must not try again.
+// After a failed fsync the operating system may report the next one as successful
+// although the data never reached the disk, so the folder must not retry.
 #[test]
 fn failed_sync_is_not_tried_again() {
     let disk = support::Disk::default();
@@ -273,15 +279,15 @@
 
     let second = folder.write(&[support::append(2, 4..=4)]);
     disk.lose_power();
-    let (_, again) = support::open(&disk).unwrap();
+    let (_, reopened) = support::open(&disk).unwrap();
 
     assert!(matches!(first, Err(error::Error::Io { .. })));
     assert!(matches!(second, Err(error::Error::Failed)));
-    assert!(again.entries.is_empty());
+    assert!(reopened.entries.is_empty());
 }
 
-// The process is killed between a write and its sync. The restart reads the
-// data, and acknowledges it; the next loss of power must not take it away.
+// The process is killed between a write and its sync. The restart reads the data and
+// may acknowledge it, so the next power loss must not lose it.
 #[test]
 fn what_a_restart_reads_survives_the_next_loss_of_power() {
     let disk = support::Disk::default();
@@ -293,13 +299,13 @@
     let (folder, read) = support::open(&disk).unwrap();
     drop(folder);
     disk.lose_power();
-    let (_, again) = support::open(&disk).unwrap();
+    let (_, reopened) = support::open(&disk).unwrap();
 
-    assert_eq!(support::found(&read), [(2, 1), (2, 2), (2, 3)]);
-    assert_eq!(support::found(&again), support::found(&read));
+    assert_eq!(support::positions(&read), [(2, 1), (2, 2), (2, 3)]);
+    assert_eq!(support::positions(&reopened), support::positions(&read));
 }
 
-// Two processes are started on one folder, for instance by two supervisors.
+// Two processes are started with the same folder, for example by two supervisors.
 #[test]
 fn second_process_is_refused() {
     let root = tempfile::tempdir().unwrap();
--- a/crates/cranberrygap-storage/tests/support/mod.rs
+++ b/crates/cranberrygap-storage/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A faulty disk in memory, and writes to put on it.
+//! In-memory disk with fault injection, and fixtures for writes.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -21,7 +21,7 @@
     sync_fails: bool,
 }
 
-/// A disk whose content can be spoilt; clones share it.
+/// In-memory disk with injectable faults; clones share its content.
 #[derive(Debug, Clone, Default)]
 pub struct Disk(Arc<Mutex<State>>);
 
@@ -34,7 +34,7 @@
         self.0.lock().unwrap().sync_fails = fails;
     }
 
-    /// Loses what was not synced, as a loss of power does.
+    /// Discards all data that was not synced, as a power loss does.
     pub fn lose_power(&self) {
         let mut state = self.0.lock().unwrap();
         state.files = state.synced.clone();
@@ -51,7 +51,7 @@
         self.0.lock().unwrap().files[name].len()
     }
 
-    pub fn forget(&self, name: &str) {
+    pub fn delete(&self, name: &str) {
         self.0.lock().unwrap().files.remove(name);
     }
 
@@ -173,8 +173,8 @@
     }
 }
 
-/// Positions of the entries that a restart finds.
-pub fn found(recovered: &recovered::Recovered) -> Vec<(u64, u64)> {
+/// Term and index of each recovered entry.
+pub fn positions(recovered: &recovered::Recovered) -> Vec<(u64, u64)> {
     let entries = recovered.entries.iter();
     entries
         .map(|entry| (entry.position.term.0, entry.position.index.0))
--- a/crates/cranberrygap-trace/src/lib.rs
+++ b/crates/cranberrygap-trace/src/lib.rs
@@ -1,4 +1,5 @@
-//! Decisions kept in bounded rings, so that people can ask a process why.
+//! Ring buffers of recent decisions, from which operators can query why a process
+//! took an action.
 
 pub mod metric;
 pub mod note;
--- a/crates/cranberrygap-trace/src/metric.rs
+++ b/crates/cranberrygap-trace/src/metric.rs
@@ -1,14 +1,14 @@
-//! What a metric is called and what it tells.
+//! Definition of a metric.
 
-/// One metric as it is sent, behind the prefix of its process.
+/// A metric; its full name starts with the prefix of the process that sends it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Metric {
-    /// Name behind the prefix.
+    /// Name after the prefix.
     pub name: &'static str,
     /// StatsD kind: `c` counter, `ms` timer, `g` gauge.
     pub kind: &'static str,
-    /// Unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// What it tells.
+    /// Description for operators.
     pub meaning: &'static str,
 }
--- a/crates/cranberrygap-trace/src/note.rs
+++ b/crates/cranberrygap-trace/src/note.rs
@@ -1,4 +1,4 @@
-//! Builds a decision step by step.
+//! Builder for decisions.
 
 use std::fmt;
 
@@ -6,25 +6,25 @@
 use cranberrygap_wire::trace;
 use smol_str::{SmolStr, ToSmolStr as _};
 
-/// What a decision is about, as far as that is known.
+/// Subjects of a decision, as far as they are known.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct About {
-    /// The request.
+    /// Request that the decision concerns.
     pub request: Option<id::Request>,
-    /// The workspace.
+    /// Workspace that the decision concerns.
     pub workspace: Option<id::Workspace>,
-    /// The model.
+    /// Model that the decision concerns.
     pub model: Option<id::Model>,
-    /// The endpoint.
+    /// Endpoint that the decision concerns.
     pub endpoint: Option<id::Endpoint>,
 }
 
-/// A decision that is being written down.
+/// Builder for one decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Note(trace::Decision);
 
 impl About {
-    /// About this request, and nothing more yet.
+    /// Subjects with only a request.
     #[must_use]
     pub fn request(request: &id::Request) -> Self {
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The same, and about this endpoint.
+    /// Copy of these subjects with the endpoint set.
     #[must_use]
     pub fn at(&self, endpoint: &id::Endpoint) -> Self {
         Self {
@@ -44,7 +44,7 @@
 }
 
 impl Note {
-    /// A decision taken at this Unix time in milliseconds.
+    /// Starts a decision taken at the Unix time `at`, in milliseconds.
     #[must_use]
     pub fn new(at: u64, about: &About, code: &'static str, sentence: impl fmt::Display) -> Self {
         Self(trace::Decision {
@@ -59,7 +59,7 @@
         })
     }
 
-    /// The same with one more fact that it rests on.
+    /// Adds a fact on which the decision is based.
     #[must_use]
     pub fn fact(mut self, name: &'static str, value: impl fmt::Display) -> Self {
         self.0.facts.push(trace::Fact {
@@ -69,7 +69,7 @@
         self
     }
 
-    /// The decision.
+    /// Returns the finished decision.
     #[must_use]
     pub fn finish(self) -> trace::Decision {
         self.0
--- a/crates/cranberrygap-trace/src/ring.rs
+++ b/crates/cranberrygap-trace/src/ring.rs
@@ -1,4 +1,4 @@
-//! A bounded ring of decisions.
+//! Ring buffer of decisions.
 
 use std::collections::VecDeque;
 
@@ -9,48 +9,48 @@
 
 use crate::subject;
 
-/// Bytes of a sentence or fact that are kept. Callers can make a process decide
-/// often, but not make it keep long texts.
-pub const LONGEST_TEXT: usize = 256;
-/// Facts of a decision that are kept.
-pub const MOST_FACTS: usize = 12;
+/// Maximum length of a stored sentence or fact value, in bytes. Callers can cause many
+/// decisions, but cannot make a process store long texts.
+pub const MAX_TEXT_BYTES: usize = 256;
+/// Maximum number of facts stored with a decision.
+pub const MAX_FACTS: usize = 12;
 
-/// The last decisions of a process; older ones are forgotten.
+/// Ring buffer with the latest decisions of a process.
 #[derive(Debug)]
 pub struct Ring {
     capacity: usize,
-    kept: Mutex<VecDeque<trace::Decision>>,
+    decisions: Mutex<VecDeque<trace::Decision>>,
 }
 
 impl Ring {
-    /// A ring that keeps so many decisions.
+    /// Creates a ring for at most `capacity` decisions, and at least one.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
-            kept: Mutex::default(),
+            decisions: Mutex::default(),
         }
     }
 
-    /// Keeps a decision and forgets the oldest when there are too many.
+    /// Stores a decision; a full ring drops its oldest one.
     pub fn note(&self, mut decision: trace::Decision) {
-        shorten(&mut decision.sentence);
-        decision.facts.truncate(MOST_FACTS);
+        truncate(&mut decision.sentence);
+        decision.facts.truncate(MAX_FACTS);
         for fact in &mut decision.facts {
-            shorten(&mut fact.value);
+            truncate(&mut fact.value);
         }
-        let mut kept = self.kept.lock();
-        if kept.len() == self.capacity {
-            kept.pop_front();
+        let mut stored = self.decisions.lock();
+        if stored.len() == self.capacity {
+            stored.pop_front();
         }
-        kept.push_back(decision);
+        stored.push_back(decision);
     }
 
-    /// The latest decisions about a thing, oldest first.
+    /// Latest decisions that concern the queried subject, oldest first.
     #[must_use]
     pub fn tell(&self, instance: id::Instance, ask: &trace::Ask) -> trace::Told {
-        let kept = self.kept.lock();
-        let matching = kept
+        let stored = self.decisions.lock();
+        let matching = stored
             .iter()
             .rev()
             .filter(|decision| subject::matches(decision, ask));
@@ -60,27 +60,27 @@
         trace::Told {
             decisions,
             instance,
-            since: kept.front().map_or(0, |oldest| oldest.at),
+            since: stored.front().map_or(0, |oldest| oldest.at),
         }
     }
 
-    /// Number of decisions that are kept.
+    /// Number of stored decisions.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.kept.lock().len()
+        self.decisions.lock().len()
     }
 
-    /// Whether nothing was decided yet.
+    /// Whether no decision is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-fn shorten(text: &mut SmolStr) {
-    if text.len() <= LONGEST_TEXT {
+fn truncate(text: &mut SmolStr) {
+    if text.len() <= MAX_TEXT_BYTES {
         return;
     }
-    let end = text.floor_char_boundary(LONGEST_TEXT);
+    let end = text.floor_char_boundary(MAX_TEXT_BYTES);
     *text = SmolStr::new(&text[..end]);
 }
--- a/crates/cranberrygap-trace/src/subject.rs
+++ b/crates/cranberrygap-trace/src/subject.rs
@@ -1,9 +1,9 @@
-//! Which decisions speak of a thing.
+//! Selection of decisions by subject.
 
 use cranberrygap_model::id;
 use cranberrygap_wire::trace;
 
-/// Whether the decision speaks of what is asked about.
+/// Whether the decision concerns the queried subject.
 pub(crate) fn matches(decision: &trace::Decision, ask: &trace::Ask) -> bool {
     let name = match ask.subject {
         trace::Subject::Request => decision.request.as_ref().map(id::Request::as_str),
--- a/crates/cranberrygap-trace/tests/ring.rs
+++ b/crates/cranberrygap-trace/tests/ring.rs
@@ -1,4 +1,4 @@
-//! What a ring keeps and what it tells.
+//! Storage and queries of the decision ring.
 
 #![expect(
     clippy::unwrap_used,
@@ -29,7 +29,7 @@
     }
 }
 
-fn times(told: &trace::Told) -> Vec<u64> {
+fn decision_times(told: &trace::Told) -> Vec<u64> {
     told.decisions.iter().map(|decision| decision.at).collect()
 }
 
@@ -40,16 +40,16 @@
         ring.note(decision(at, &format!("r-{}", at % 2), "frames"));
     }
 
-    let told = |ask| times(&ring.tell("entry-1".parse().unwrap(), &ask));
+    let told = |ask| decision_times(&ring.tell("entry-1".parse().unwrap(), &ask));
 
     assert_eq!(told(ask(trace::Subject::Request, "r-0", 9)), [2, 4, 6]);
     assert_eq!(told(ask(trace::Subject::Model, "frames", 2)), [5, 6]);
     assert_eq!(told(ask(trace::Subject::Endpoint, "frames", 9)), [0_u64; 0]);
 }
 
-// A caller sends requests without end. The ring must not grow with them, and
-// an operator must see that earlier decisions are gone and not take their
-// absence for proof.
+// A caller sends requests without end. The ring must not grow with them, and its
+// answer must show from when on decisions are stored, so that an operator does not
+// take a missing decision for proof that it was not taken.
 #[test]
 fn full_ring_forgets_its_oldest_and_says_since_when_it_knows() {
     let ring = ring::Ring::new(3);
@@ -63,7 +63,7 @@
     );
 
     assert_eq!(ring.len(), 3);
-    assert_eq!(times(&told), [8, 9, 10]);
+    assert_eq!(decision_times(&told), [8, 9, 10]);
     assert_eq!(told.since, 8);
 }
 
