--- a/crates/cranberrygap-bench/src/measure/capacity/renewals.rs
+++ b/crates/cranberrygap-bench/src/measure/capacity/renewals.rs
@@ -63,13 +63,13 @@
         let address = told.await?;
         let role = credential::Role::Fleet;
         let client = client::Client::connect(address, role, &secret).await?;
-        let begin = processor::thread();
+        let begin = processor::thread_time();
         for _call in 0..calls {
             client
                 .call::<_, share::Granted>(method::SHARE_RENEW, renew, DEADLINE)
                 .await?;
         }
-        let spent = processor::thread().saturating_sub(begin);
+        let spent = processor::thread_time().saturating_sub(begin);
         let _gone = stop.send(());
         let served = serving
             .join()
@@ -99,11 +99,11 @@
             })
             .start(anywhere)
             .await?;
-        let begin = processor::thread();
+        let begin = processor::thread_time();
         let _gone = tell.send(server.address());
         // An end that is gone stops as well.
         drop(stopped.await);
-        Ok(processor::thread().saturating_sub(begin))
+        Ok(processor::thread_time().saturating_sub(begin))
     })
 }
 
@@ -113,9 +113,9 @@
 }
 
 fn micros(calls: u32, mut work: impl FnMut()) -> f64 {
-    let begin = processor::thread();
+    let begin = processor::thread_time();
     (0..calls).for_each(|_| work());
-    let spent = processor::thread().saturating_sub(begin);
+    let spent = processor::thread_time().saturating_sub(begin);
     spent.as_secs_f64() * MICROS / f64::from(calls)
 }
 
--- a/crates/cranberrygap-control/src/links.rs
+++ b/crates/cranberrygap-control/src/links.rs
@@ -125,7 +125,7 @@
             let Some(links) = self.links.upgrade() else {
                 return;
             };
-            let secret = links.secret.shown();
+            let secret = links.secret.current();
             drop(links);
             let role = credential::Role::Fleet;
             match client::Client::connect(self.peer.address, role, &secret).await {
--- a/crates/cranberrygap-control/src/metric.rs
+++ b/crates/cranberrygap-control/src/metric.rs
@@ -218,9 +218,9 @@
 
     /// Runs `work` and records its processor time.
     pub(crate) fn measure<R>(&self, kind: Work, work: impl FnOnce() -> R) -> R {
-        let start = processor::thread();
+        let start = processor::thread_time();
         let result = work();
-        let spent = processor::thread().saturating_sub(start);
+        let spent = processor::thread_time().saturating_sub(start);
         self.count(WORK, kind.name(), nanos(spent));
         result
     }
@@ -235,10 +235,10 @@
 
     /// Logs a summary every [`SUMMARY_PERIOD`] until the process stops.
     pub(crate) async fn log_summaries(self) {
-        let mut before = processor::process();
+        let mut before = processor::process_time();
         loop {
             tokio::time::sleep(SUMMARY_INTERVAL).await;
-            let now = processor::process();
+            let now = processor::process_time();
             self.count(PROCESSOR, "all", nanos(now.saturating_sub(before)));
             before = now;
             let summary = std::mem::take(&mut *self.summary.lock());
--- a/crates/cranberrygap-entry/src/control/session.rs
+++ b/crates/cranberrygap-entry/src/control/session.rs
@@ -135,7 +135,7 @@
         }
         let target = self.target().ok_or_else(unreachable)?;
         let role = credential::Role::Fleet;
-        let client = Arc::new(client::Client::connect(target, role, &self.secret.shown()).await?);
+        let client = Arc::new(client::Client::connect(target, role, &self.secret.current()).await?);
         let mut inner = self.inner.lock();
         inner.client = Some(Arc::clone(&client));
         inner.reached = Some(target);
--- a/crates/cranberrygap-entry/src/control/subscription.rs
+++ b/crates/cranberrygap-entry/src/control/subscription.rs
@@ -45,7 +45,7 @@
 
     async fn follow(&self, peer: &address::Peer) -> Result<(), cranberrygap_link::error::Error> {
         let role = credential::Role::Fleet;
-        let client = client::Client::connect(peer.address, role, &self.secret.shown()).await?;
+        let client = client::Client::connect(peer.address, role, &self.secret.current()).await?;
         let wanted = wire_view::Subscribe {
             instance: self.core.instance().clone(),
             boot: self.core.boot,
--- a/crates/cranberrygap-link/src/client.rs
+++ b/crates/cranberrygap-link/src/client.rs
@@ -21,25 +21,25 @@
 
 /// Time for a connection and its handshake together. A few round trips, also between
 /// regions; a process that stands still would hold up whoever looks for the leader.
-const CONNECT_DEADLINE: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time for the first frame of a stream. An end that has not caught up by then with what
 /// the subscriber has seen, or that stands still, would hold up a view which must not be
 /// two seconds old.
-const OPEN_DEADLINE: Duration = Duration::from_millis(700);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Upper bound that the library puts on any call; the caller's own deadline is
 /// shorter.
-const LONGEST_CALL: Duration = Duration::from_hours(1);
+const MAX_CALL_DURATION: Duration = Duration::from_hours(1);
 
 /// Calls under way on one connection.
-const LARGEST_CONCURRENCY: usize = 4_096;
+const MAX_CONCURRENT_CALLS: usize = 4_096;
 
 /// Tries to open a connection; the library counts them as redirections.
-const ATTEMPTS: usize = 1;
+const MAX_CONNECT_ATTEMPTS: usize = 1;
 
 /// Frames that wait for a slow reader before its stream ends.
-const FRAME_BUFFER: usize = 1_024;
+const FRAME_BUFFER_CAPACITY: usize = 1_024;
 
 /// A connection on which both ends have proven themselves.
 pub struct Client {
@@ -69,32 +69,32 @@
         role: credential::Role,
         secret: &credential::Secret,
     ) -> Result<Self, Error> {
-        let connecting = Self::connect_unbounded(address, role, secret);
-        let connected = tokio::time::timeout(CONNECT_DEADLINE, connecting).await;
+        let connecting = Self::connect_without_timeout(address, role, secret);
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         connected.unwrap_or_else(|_elapsed| Err(unreachable(&"no connection in time")))
     }
 
-    async fn connect_unbounded(
+    async fn connect_without_timeout(
         address: address::Socket,
         role: credential::Role,
         secret: &credential::Secret,
     ) -> Result<Self, Error> {
         let ping = rpc::async_client::PingConfig::new()
             .ping_interval(message::PING_INTERVAL)
-            .inactive_limit(message::SILENCE_LIMIT);
+            .inactive_limit(message::SILENCE_TIMEOUT);
         let rpc = ws_client::WsClientBuilder::new()
-            .connection_timeout(CONNECT_DEADLINE)
-            .request_timeout(LONGEST_CALL)
-            .max_request_size(message::LARGEST_MESSAGE)
-            .max_response_size(message::LARGEST_MESSAGE)
-            .max_concurrent_requests(LARGEST_CONCURRENCY)
-            .max_buffer_capacity_per_subscription(FRAME_BUFFER)
-            .max_redirections(ATTEMPTS)
+            .connection_timeout(CONNECT_TIMEOUT)
+            .request_timeout(MAX_CALL_DURATION)
+            .max_request_size(message::MAX_MESSAGE_BYTES)
+            .max_response_size(message::MAX_MESSAGE_BYTES)
+            .max_concurrent_requests(MAX_CONCURRENT_CALLS)
+            .max_buffer_capacity_per_subscription(FRAME_BUFFER_CAPACITY)
+            .max_redirections(MAX_CONNECT_ATTEMPTS)
             .enable_ws_ping(ping)
             .build(format!("ws://{address}"))
             .await
             .map_err(|cause| unreachable(&cause))?;
-        let keys = prove(&rpc, role, secret).await?;
+        let keys = authenticate(&rpc, role, secret).await?;
         Ok(Self {
             rpc,
             keys,
@@ -113,7 +113,7 @@
         params: &P,
         deadline: duration::Span,
     ) -> Result<R, Error> {
-        let envelope = self.envelope(method, params)?;
+        let envelope = self.seal_call(method, params)?;
         let counter = envelope.counter;
         let calling = self.rpc.request(message::CALL, rpc_params![envelope]);
         let answer = tokio::time::timeout(deadline.to_std(), calling).await;
@@ -125,7 +125,7 @@
         // Something between the ends altered the answer or gave that of another
         // call. What the call did is then as unknown as after a lost answer.
         let fits = answer.counter == counter && answer.sequence == 0;
-        if !fits || !self.keys.is_authentic(session::Purpose::Answer, &answer) {
+        if !fits || !self.keys.is_authentic(session::Purpose::Response, &answer) {
             return Err(Error::Closed);
         }
         decode(&answer)?.ok_or_else(|| malformed(&"an answer without content"))
@@ -141,12 +141,12 @@
         method: &'static str,
         params: &P,
     ) -> Result<Subscription<F>, Error> {
-        let envelope = self.envelope(method, params)?;
+        let envelope = self.seal_call(method, params)?;
         let counter = envelope.counter;
         let opening = self
             .rpc
             .subscribe(message::OPEN, rpc_params![envelope], message::CLOSE);
-        let frames = match tokio::time::timeout(OPEN_DEADLINE, opening).await {
+        let frames = match tokio::time::timeout(OPEN_TIMEOUT, opening).await {
             Ok(Ok(frames)) => frames,
             Ok(Err(_cause)) => return Err(Error::Closed),
             Err(_elapsed) => return Err(Error::TimedOut),
@@ -160,7 +160,7 @@
             frame: PhantomData,
         };
         // The first frame is empty and tells that the stream was granted.
-        let opened = tokio::time::timeout(OPEN_DEADLINE, subscription.receive());
+        let opened = tokio::time::timeout(OPEN_TIMEOUT, subscription.receive());
         match opened.await {
             Ok(Some(Ok(envelope))) => decode::<()>(&envelope).map(drop)?,
             Ok(Some(Err(error))) => return Err(error),
@@ -181,7 +181,7 @@
         self.rpc.on_disconnect().await;
     }
 
-    fn envelope<P: Serialize>(
+    fn seal_call<P: Serialize>(
         &self,
         method: &'static str,
         params: &P,
@@ -195,9 +195,9 @@
             method: method.into(),
             params,
         };
-        let body = message::raw(&call);
-        let size = body.get().len() + message::ENVELOPE_ROOM;
-        let limit = message::LARGEST_MESSAGE as usize;
+        let body = message::to_raw_json(&call);
+        let size = body.get().len() + message::ENVELOPE_OVERHEAD_BYTES;
+        let limit = message::MAX_MESSAGE_BYTES as usize;
         if size > limit {
             return Err(Error::TooLarge { size, limit });
         }
@@ -213,13 +213,13 @@
             return None;
         }
         match self.receive().await {
-            Some(Ok(envelope)) => self.content(&envelope),
+            Some(Ok(envelope)) => self.decode_frame(&envelope),
             Some(Err(error)) => Some(self.fail(error)),
             None => Some(self.fail(Error::Closed)),
         }
     }
 
-    fn content(&mut self, envelope: &session::Envelope) -> Option<Result<F, Error>> {
+    fn decode_frame(&mut self, envelope: &session::Envelope) -> Option<Result<F, Error>> {
         match decode(envelope) {
             Ok(Some(frame)) => Some(Ok(frame)),
             Ok(None) => {
@@ -269,12 +269,12 @@
     }
 }
 
-async fn prove(
+async fn authenticate(
     rpc: &ws_client::WsClient,
     role: credential::Role,
     secret: &credential::Secret,
 ) -> Result<session::Keys, Error> {
-    let client = handshake::Nonce::draw().map_err(|cause| unreachable(&cause))?;
+    let client = handshake::Nonce::generate().map_err(|cause| unreachable(&cause))?;
     let hello = handshake::Hello {
         role,
         nonce: client.to_hex(),
@@ -282,7 +282,7 @@
     let challenge: handshake::Challenge = rpc
         .request(message::HELLO, rpc_params![hello])
         .await
-        .map_err(refused_by_stranger)?;
+        .map_err(handshake_error)?;
     let server = handshake::Nonce::from_hex(&challenge.nonce).ok_or(Error::NotAuthentic)?;
     let transcript = handshake::Transcript {
         role,
@@ -292,14 +292,14 @@
     let proof: handshake::Proof = rpc
         .request(message::PROVE, rpc_params![transcript.client_proof(secret)])
         .await
-        .map_err(refused_by_stranger)?;
-    if !transcript.is_server(secret, &proof) {
+        .map_err(handshake_error)?;
+    if !transcript.is_server_proof(secret, &proof) {
         return Err(Error::NotAuthentic);
     }
-    Ok(transcript.session(secret))
+    Ok(transcript.session_keys(secret))
 }
 
-fn refused_by_stranger(cause: rpc::Error) -> Error {
+fn handshake_error(cause: rpc::Error) -> Error {
     match cause {
         rpc::Error::Call(_) | rpc::Error::ParseError(_) => Error::NotAuthentic,
         other => unreachable(&other),
@@ -307,7 +307,7 @@
 }
 
 fn decode<R: DeserializeOwned>(envelope: &session::Envelope) -> Result<Option<R>, Error> {
-    let answer: message::Answer =
+    let answer: message::Response =
         serde_json::from_str(envelope.body.get()).map_err(|cause| malformed(&cause))?;
     if let Some(fault) = answer.fault {
         return Err(Error::Refused {
--- a/crates/cranberrygap-link/src/credential.rs
+++ b/crates/cranberrygap-link/src/credential.rs
@@ -11,10 +11,10 @@
 
 /// Shortest secret that is taken, in bytes. Shorter ones could be found by
 /// trying all of them against one recorded handshake.
-pub const SHORTEST_SECRET: usize = 16;
+pub const MIN_SECRET_BYTES: usize = 16;
 
 /// Mode bits of group and others; a secret's file must have none of them.
-const FOREIGN_MODE: u32 = 0o077;
+const GROUP_AND_OTHERS_MASK: u32 = 0o077;
 
 /// Separates keys made from secrets from every other use of BLAKE3.
 const CONTEXT: &str = "cranberrygap 2026-12 link secret";
@@ -38,7 +38,7 @@
 /// The secret that a process shows; it may be changed while the process runs.
 #[derive(Debug)]
 pub struct Holder {
-    shown: RwLock<Secret>,
+    current: RwLock<Secret>,
 }
 
 /// Why a secret's file was not taken.
@@ -61,7 +61,7 @@
         mode: u32,
     },
     /// The file holds too little.
-    #[error("{path}: each line must hold a secret of at least {SHORTEST_SECRET} bytes", path = path.display())]
+    #[error("{path}: each line must hold a secret of at least {MIN_SECRET_BYTES} bytes", path = path.display())]
     TooShort {
         /// The file.
         path: PathBuf,
@@ -99,7 +99,7 @@
         };
         let metadata = fs::metadata(path).map_err(unreadable)?;
         let mode = metadata.permissions().mode() & 0o7777;
-        if mode & FOREIGN_MODE != 0 {
+        if mode & GROUP_AND_OTHERS_MASK != 0 {
             let path = path.to_owned();
             return Err(Error::Exposed { path, mode });
         }
@@ -133,7 +133,7 @@
     /// A secret from its bytes; `None` when there are too few.
     #[must_use]
     pub fn new(content: &[u8]) -> Option<Self> {
-        if content.len() < SHORTEST_SECRET {
+        if content.len() < MIN_SECRET_BYTES {
             return None;
         }
         let key = blake3::derive_key(CONTEXT, content);
@@ -149,19 +149,19 @@
     /// Shows `secret` from now on.
     #[must_use]
     pub const fn new(secret: Secret) -> Self {
-        let shown = RwLock::new(secret);
-        Self { shown }
+        let current = RwLock::new(secret);
+        Self { current }
     }
 
     /// The secret to show on a new connection.
     #[must_use]
-    pub fn shown(&self) -> Secret {
-        self.shown.read().clone()
+    pub fn current(&self) -> Secret {
+        self.current.read().clone()
     }
 
     /// Shows another secret from the next connection on.
     pub fn replace(&self, secret: Secret) {
-        *self.shown.write() = secret;
+        *self.current.write() = secret;
     }
 }
 
--- a/crates/cranberrygap-link/src/handshake.rs
+++ b/crates/cranberrygap-link/src/handshake.rs
@@ -7,11 +7,11 @@
 use crate::session;
 
 /// Bytes of a nonce; far too many for two connections to draw the same.
-const NONCE_LENGTH: usize = 32;
+const NONCE_BYTES: usize = 32;
 
 /// A number that is used once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Nonce([u8; NONCE_LENGTH]);
+pub struct Nonce([u8; NONCE_BYTES]);
 
 /// First message, from the connecting end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,8 +53,8 @@
     /// # Errors
     ///
     /// When the system gives no random numbers.
-    pub fn draw() -> Result<Self, getrandom::Error> {
-        let mut bytes = [0; NONCE_LENGTH];
+    pub fn generate() -> Result<Self, getrandom::Error> {
+        let mut bytes = [0; NONCE_BYTES];
         getrandom::fill(&mut bytes)?;
         Ok(Self(bytes))
     }
@@ -92,19 +92,19 @@
 
     /// Whether `proof` is the connecting end's for `secret`.
     #[must_use]
-    pub fn is_client(&self, secret: &credential::Secret, proof: &Proof) -> bool {
-        matches(self.hash(secret, "client"), proof)
+    pub fn is_client_proof(&self, secret: &credential::Secret, proof: &Proof) -> bool {
+        is_proof_equal(self.hash(secret, "client"), proof)
     }
 
     /// Whether `proof` is the accepting end's for `secret`.
     #[must_use]
-    pub fn is_server(&self, secret: &credential::Secret, proof: &Proof) -> bool {
-        matches(self.hash(secret, "server"), proof)
+    pub fn is_server_proof(&self, secret: &credential::Secret, proof: &Proof) -> bool {
+        is_proof_equal(self.hash(secret, "server"), proof)
     }
 
     /// The keys of the session that follows.
     #[must_use]
-    pub fn session(&self, secret: &credential::Secret) -> session::Keys {
+    pub fn session_keys(&self, secret: &credential::Secret) -> session::Keys {
         session::Keys::new(self.hash(secret, "session"))
     }
 
@@ -121,6 +121,6 @@
 }
 
 /// Compares in constant time, which `blake3::Hash` does.
-fn matches(expected: blake3::Hash, proof: &Proof) -> bool {
+fn is_proof_equal(expected: blake3::Hash, proof: &Proof) -> bool {
     blake3::Hash::from_hex(proof.proof.as_str()).is_ok_and(|found| found == expected)
 }
--- a/crates/cranberrygap-link/src/message.rs
+++ b/crates/cranberrygap-link/src/message.rs
@@ -24,10 +24,10 @@
 
 /// Largest message in bytes. A whole view at the planned size (1,300 models,
 /// 600 endpoints) is below 2 MiB, a block of a replica's snapshot below 4 MiB.
-pub(crate) const LARGEST_MESSAGE: u32 = 16 << 20;
+pub(crate) const MAX_MESSAGE_BYTES: u32 = 16 << 20;
 
 /// Room that the envelope takes beside the body.
-pub(crate) const ENVELOPE_ROOM: usize = 1_024;
+pub(crate) const ENVELOPE_OVERHEAD_BYTES: usize = 1_024;
 
 /// How often each end pings the other.
 pub(crate) const PING_INTERVAL: Duration = Duration::from_secs(1);
@@ -35,17 +35,17 @@
 /// Silence after which a connection counts as dead. Something between the ends
 /// may have lost track of the connection; then nothing arrives any more and no
 /// error does either. Both ends see it by the missing answers to their pings.
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_secs(5);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// JSON-RPC code for whoever has not proven itself.
-pub(crate) const STRANGER: i32 = -32_010;
+pub(crate) const UNAUTHENTICATED: i32 = -32_010;
 
 /// Fault code of an unknown method.
 pub(crate) const UNKNOWN_METHOD: i32 = -32_601;
 /// Fault code of parameters that do not have the method's form.
-pub(crate) const WRONG_PARAMS: i32 = -32_602;
+pub(crate) const INVALID_PARAMS: i32 = -32_602;
 /// Fault code of an answer that could not be written.
-pub(crate) const INTERNAL: i32 = -32_603;
+pub(crate) const INTERNAL_ERROR: i32 = -32_603;
 
 /// Body of a call.
 #[derive(Debug, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 /// Body of an answer or of a frame. It is a struct because tagged enums cannot
 /// hold raw JSON.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) ok: Option<Box<RawValue>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -74,7 +74,7 @@
     pub(crate) data: Value,
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn new(result: Result<Box<RawValue>, server::Fault>) -> Self {
         match result {
             Ok(ok) => Self {
@@ -101,6 +101,6 @@
 }
 
 /// JSON of a type whose serialisation cannot fail.
-pub(crate) fn raw<T: Serialize>(content: &T) -> Box<RawValue> {
+pub(crate) fn to_raw_json<T: Serialize>(content: &T) -> Box<RawValue> {
     serde_json::value::to_raw_value(content).expect("plain structs with text keys become JSON")
 }
--- a/crates/cranberrygap-link/src/server.rs
+++ b/crates/cranberrygap-link/src/server.rs
@@ -27,7 +27,7 @@
 
 /// Connections that one listener holds. 390 entries and 7 controls with two
 /// connections each stay below it.
-const LARGEST_CONNECTIONS: usize = 1_024;
+const MAX_CONNECTIONS: usize = 1_024;
 
 /// Why a call is refused; the caller gets all of it.
 #[derive(Debug, Clone, PartialEq)]
@@ -53,7 +53,7 @@
     },
 }
 
-type Answer = BoxFuture<'static, Result<Box<RawValue>, Fault>>;
+type Response = BoxFuture<'static, Result<Box<RawValue>, Fault>>;
 type Frames = BoxStream<'static, Box<RawValue>>;
 type Opening = BoxFuture<'static, Result<Frames, Fault>>;
 
@@ -63,7 +63,7 @@
 
 struct Method {
     role: credential::Role,
-    run: Box<dyn Fn(Box<RawValue>) -> Answer + Send + Sync>,
+    run: Box<dyn Fn(Box<RawValue>) -> Response + Send + Sync>,
 }
 
 struct Stream {
@@ -77,7 +77,7 @@
     secrets: BTreeMap<credential::Role, Vec<credential::Secret>>,
     methods: BTreeMap<SmolStr, Method>,
     streams: BTreeMap<SmolStr, Stream>,
-    connections: Option<usize>,
+    max_connections: Option<usize>,
     meter: Option<Meter>,
 }
 
@@ -117,8 +117,8 @@
 
     /// Holds at most so many connections.
     #[must_use]
-    pub const fn connections(mut self, most: usize) -> Self {
-        self.connections = Some(most);
+    pub const fn max_connections(mut self, most: usize) -> Self {
+        self.max_connections = Some(most);
         self
     }
 
@@ -140,7 +140,7 @@
         A: Future<Output = Result<R, Fault>> + Send + 'static,
     {
         let handler = Arc::new(handler);
-        let run = move |params: Box<RawValue>| -> Answer {
+        let run = move |params: Box<RawValue>| -> Response {
             let handler = Arc::clone(&handler);
             Box::pin(async move {
                 let params = decode(&params)?;
@@ -191,9 +191,9 @@
     ///
     /// When the address cannot be listened on.
     pub async fn start(self, address: address::Socket) -> Result<Handle, Error> {
-        let most = self.connections.unwrap_or(LARGEST_CONNECTIONS);
+        let most = self.max_connections.unwrap_or(MAX_CONNECTIONS);
         let registry = registry::Registry::new(self.secrets, self.methods, self.streams, most);
-        let registry = registry.metered(self.meter);
+        let registry = registry.with_meter(self.meter);
         Handle::listen(Arc::new(registry), address).await
     }
 }
@@ -209,10 +209,10 @@
 
 fn decode<P: DeserializeOwned>(params: &RawValue) -> Result<P, Fault> {
     serde_json::from_str(params.get())
-        .map_err(|cause| Fault::new(message::WRONG_PARAMS, cause.to_string()))
+        .map_err(|cause| Fault::new(message::INVALID_PARAMS, cause.to_string()))
 }
 
 fn encode<R: Serialize>(answer: &R) -> Result<Box<RawValue>, Fault> {
     serde_json::value::to_raw_value(answer)
-        .map_err(|cause| Fault::new(message::INTERNAL, cause.to_string()))
+        .map_err(|cause| Fault::new(message::INTERNAL_ERROR, cause.to_string()))
 }
--- a/crates/cranberrygap-link/src/server/accept.rs
+++ b/crates/cranberrygap-link/src/server/accept.rs
@@ -23,16 +23,16 @@
 
 /// Time in which a connection must prove itself. A stranger could otherwise
 /// hold connections open until no process of the fleet finds a free one.
-const PROOF_DEADLINE: Duration = Duration::from_secs(5);
+const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Streams that one connection may hold open.
-const LARGEST_STREAMS: u32 = 16;
+const MAX_STREAMS: u32 = 16;
 
 /// Messages that wait for a slow reader before the sender waits too.
-const MESSAGE_BUFFER: u32 = 256;
+const MESSAGE_BUFFER_CAPACITY: u32 = 256;
 
 /// Pause after a failed accept, such as when no file descriptor is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A running listener; it stops when the handle is dropped.
 pub struct Handle {
@@ -73,13 +73,13 @@
     /// Changes the secrets of a role at run time. Connections that rest on a
     /// secret that is no longer taken end.
     pub fn replace_secrets(&self, role: credential::Role, secrets: Vec<credential::Secret>) {
-        self.registry.replace(role, secrets);
+        self.registry.replace_secrets(role, secrets);
     }
 
     /// Stops listening and ends all connections.
     pub fn stop(&self) {
         self.stop.send_replace(true);
-        self.registry.end_all();
+        self.registry.close_all();
     }
 }
 
@@ -103,7 +103,7 @@
     registry: Arc<Registry>,
     mut stopped: watch::Receiver<bool>,
 ) {
-    let module = module(&registry);
+    let module = rpc_module(&registry);
     let mut next: u32 = 0;
     loop {
         let accepted = tokio::select! {
@@ -111,7 +111,7 @@
             _ = stopped.wait_for(|stopped| *stopped) => return,
         };
         let Ok((socket, _peer)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         next = next.wrapping_add(1);
@@ -122,14 +122,14 @@
 fn serve(socket: net::TcpStream, id: u32, registry: &Arc<Registry>, module: server::Methods) {
     let (stop, handle) = server::stop_channel();
     let connection = Arc::new(Connection::new(handle));
-    if !registry.open(id, Arc::clone(&connection)) {
+    if !registry.insert(id, Arc::clone(&connection)) {
         spdlog::warn!("link: too many connections, one was refused");
         return;
     }
     // Fails only on a socket that is already closed.
     drop(socket.set_nodelay(true));
     let mut service = server::Server::builder()
-        .set_config(config())
+        .set_config(server_config())
         .to_service_builder()
         .connection_id(id)
         .build(module, stop.clone());
@@ -147,62 +147,62 @@
         tokio::pin!(serving);
         tokio::select! {
             () = &mut serving => {}
-            () = until_unproven(&connection) => {
+            () = authentication_timeout(&connection) => {
                 spdlog::warn!("link: a connection that did not prove itself was closed");
-                connection.end();
+                connection.close();
             }
         }
-        registry.forget(id);
+        registry.remove(id);
     });
 }
 
 /// Ends when the connection has not proven itself in time, else never.
-async fn until_unproven(connection: &Connection) {
-    let proven = tokio::time::timeout(PROOF_DEADLINE, connection.proven());
+async fn authentication_timeout(connection: &Connection) {
+    let proven = tokio::time::timeout(AUTHENTICATION_TIMEOUT, connection.authenticated());
     if proven.await.is_ok() {
         std::future::pending::<()>().await;
     }
 }
 
-fn config() -> server::ServerConfig {
+fn server_config() -> server::ServerConfig {
     let ping = server::PingConfig::new()
         .ping_interval(message::PING_INTERVAL)
-        .inactive_limit(message::SILENCE_LIMIT);
+        .inactive_limit(message::SILENCE_TIMEOUT);
     server::ServerConfig::builder()
         .ws_only()
-        .max_request_body_size(message::LARGEST_MESSAGE)
-        .max_response_body_size(message::LARGEST_MESSAGE)
-        .max_subscriptions_per_connection(LARGEST_STREAMS)
+        .max_request_body_size(message::MAX_MESSAGE_BYTES)
+        .max_response_body_size(message::MAX_MESSAGE_BYTES)
+        .max_subscriptions_per_connection(MAX_STREAMS)
         .set_batch_request_config(server::BatchRequestConfig::Disabled)
-        .set_message_buffer_capacity(MESSAGE_BUFFER)
+        .set_message_buffer_capacity(MESSAGE_BUFFER_CAPACITY)
         .enable_ws_ping(ping)
         .build()
 }
 
-fn module(registry: &Arc<Registry>) -> server::Methods {
+fn rpc_module(registry: &Arc<Registry>) -> server::Methods {
     let mut module = RpcModule::from_arc(Arc::clone(registry));
     let distinct = "the names on a link are distinct";
     module
         .register_method(message::HELLO, |params, registry, extensions| {
             let hello: handshake::Hello = params.one()?;
-            let connection = find(registry, extensions)?;
-            connection.challenge(&hello).ok_or_else(stranger)
+            let connection = find_connection(registry, extensions)?;
+            connection.challenge(&hello).ok_or_else(unauthenticated)
         })
         .expect(distinct);
     module
         .register_method(message::PROVE, |params, registry, extensions| {
             let proof: handshake::Proof = params.one()?;
-            prove(registry, extensions, &proof)
+            verify_proof(registry, extensions, &proof)
         })
         .expect(distinct);
     module
         .register_async_method(message::CALL, |params, registry, extensions| async move {
             let mut name = SmolStr::default();
-            let answering = answer(&params, &registry, &extensions, &mut name);
+            let answering = handle_call(&params, &registry, &extensions, &mut name);
             let Some(meter) = registry.meter() else {
                 return answering.await;
             };
-            let (answer, spent) = processor::of(answering).await;
+            let (answer, spent) = processor::measure(answering).await;
             meter(&name, spent);
             answer
         })
@@ -213,51 +213,51 @@
     module.into()
 }
 
-fn prove(
+fn verify_proof(
     registry: &Registry,
     extensions: &jsonrpsee::Extensions,
     proof: &handshake::Proof,
 ) -> Result<handshake::Proof, ErrorObjectOwned> {
-    let connection = find(registry, extensions)?;
-    let role = connection.claimed().ok_or_else(stranger)?;
-    let answer = connection.prove(proof, registry.secrets(role));
+    let connection = find_connection(registry, extensions)?;
+    let role = connection.claimed_role().ok_or_else(unauthenticated)?;
+    let answer = connection.verify_proof(proof, registry.secrets(role));
     if answer.is_none() {
         spdlog::warn!("link: a stranger that claimed the role {role} was refused");
     }
-    answer.ok_or_else(stranger)
+    answer.ok_or_else(unauthenticated)
 }
 
 /// Answers a sealed call; `name` is its method once that is known.
-async fn answer(
+async fn handle_call(
     params: &Params<'static>,
     registry: &Registry,
     extensions: &jsonrpsee::Extensions,
     name: &mut SmolStr,
 ) -> Result<session::Envelope, ErrorObjectOwned> {
     let envelope: session::Envelope = params.one()?;
-    let connection = find(registry, extensions)?;
-    let Some(authentic) = connection.check(&envelope) else {
+    let connection = find_connection(registry, extensions)?;
+    let Some(authentic) = connection.verify_call(&envelope) else {
         // An altered or repeated message means that something between
         // the ends plays with the connection; it is of no more use.
-        connection.end();
-        return Err(stranger());
+        connection.close();
+        return Err(unauthenticated());
     };
     let result = tokio::select! {
-        result = call(registry, authentic.role, &envelope, name) => result,
-        () = connection.ended() => return Err(stranger()),
+        result = run_method(registry, authentic.role, &envelope, name) => result,
+        () = connection.closed() => return Err(unauthenticated()),
     };
-    let body = message::raw(&message::Answer::new(result));
-    let purpose = session::Purpose::Answer;
+    let body = message::to_raw_json(&message::Response::new(result));
+    let purpose = session::Purpose::Response;
     Ok(authentic.keys.seal(purpose, envelope.counter, 0, body))
 }
 
-async fn call(
+async fn run_method(
     registry: &Registry,
     role: credential::Role,
     envelope: &session::Envelope,
     name: &mut SmolStr,
 ) -> Result<Box<serde_json::value::RawValue>, Fault> {
-    let wrong = |cause: serde_json::Error| Fault::new(message::WRONG_PARAMS, cause.to_string());
+    let wrong = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
     let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(wrong)?;
     name.clone_from(&call.method);
     let method = registry
@@ -268,16 +268,16 @@
     (method.run)(call.params).await
 }
 
-pub(super) fn find(
+pub(super) fn find_connection(
     registry: &Registry,
     extensions: &jsonrpsee::Extensions,
 ) -> Result<Arc<Connection>, ErrorObjectOwned> {
     let id = extensions.get::<server::ConnectionId>();
     let id = id.and_then(|id| u32::try_from(id.0).ok());
     let connection = id.and_then(|id| registry.connection(id));
-    connection.ok_or_else(stranger)
+    connection.ok_or_else(unauthenticated)
 }
 
-pub(super) fn stranger() -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(message::STRANGER, "prove yourself first", None::<()>)
+pub(super) fn unauthenticated() -> ErrorObjectOwned {
+    ErrorObjectOwned::owned(message::UNAUTHENTICATED, "prove yourself first", None::<()>)
 }
--- a/crates/cranberrygap-link/src/server/registry.rs
+++ b/crates/cranberrygap-link/src/server/registry.rs
@@ -11,7 +11,7 @@
 use crate::credential;
 
 /// Part of all places that connections without a proof may take: one in so many.
-const UNPROVEN_PART: usize = 16;
+const UNAUTHENTICATED_DIVISOR: usize = 16;
 
 /// Shared by all connections of one listener.
 pub(super) struct Registry {
@@ -19,7 +19,7 @@
     methods: BTreeMap<SmolStr, Method>,
     streams: BTreeMap<SmolStr, Stream>,
     connections: Mutex<BTreeMap<u32, Arc<Connection>>>,
-    most: usize,
+    max_connections: usize,
     meter: Option<Meter>,
 }
 
@@ -28,20 +28,20 @@
         secrets: BTreeMap<credential::Role, Vec<credential::Secret>>,
         methods: BTreeMap<SmolStr, Method>,
         streams: BTreeMap<SmolStr, Stream>,
-        most: usize,
+        max_connections: usize,
     ) -> Self {
         Self {
             secrets: Mutex::new(secrets),
             methods,
             streams,
             connections: Mutex::new(BTreeMap::new()),
-            most,
+            max_connections,
             meter: None,
         }
     }
 
     /// Tells of the processor time of calls.
-    pub(super) fn metered(self, meter: Option<Meter>) -> Self {
+    pub(super) fn with_meter(self, meter: Option<Meter>) -> Self {
         Self { meter, ..self }
     }
 
@@ -65,11 +65,11 @@
     /// Changes the secrets of a role and ends connections that rest on one that
     /// is no longer taken; else a leaked secret would go on for as long as its
     /// finder keeps a connection open.
-    pub(super) fn replace(&self, role: credential::Role, secrets: Vec<credential::Secret>) {
+    pub(super) fn replace_secrets(&self, role: credential::Role, secrets: Vec<credential::Secret>) {
         let open: Vec<Arc<Connection>> = self.connections.lock().values().cloned().collect();
         for connection in open {
-            if connection.rests_on_other(role, &secrets) {
-                connection.end();
+            if connection.uses_revoked_secret(role, &secrets) {
+                connection.close();
             }
         }
         self.secrets.lock().insert(role, secrets);
@@ -85,34 +85,36 @@
     /// One would see that no process of the fleet gets in. So the oldest that
     /// has not proven itself makes room for the next one; a process of the fleet
     /// needs its place unproven for milliseconds only.
-    pub(super) fn open(&self, id: u32, connection: Arc<Connection>) -> bool {
+    pub(super) fn insert(&self, id: u32, connection: Arc<Connection>) -> bool {
         let mut connections = self.connections.lock();
-        let unproven = connections.iter().filter(|(_, held)| held.is_unproven());
+        let unproven = connections
+            .iter()
+            .filter(|(_, held)| held.is_unauthenticated());
         let unproven: Vec<u32> = unproven.map(|(id, _)| *id).collect();
-        if unproven.len() >= self.most_unproven() {
+        if unproven.len() >= self.max_unauthenticated() {
             let oldest = unproven.first().and_then(|id| connections.remove(id));
             if let Some(oldest) = oldest {
-                oldest.end();
+                oldest.close();
             }
         }
-        if connections.len() >= self.most {
+        if connections.len() >= self.max_connections {
             return false;
         }
         connections.insert(id, connection);
         true
     }
 
-    fn most_unproven(&self) -> usize {
-        (self.most / UNPROVEN_PART).max(1)
+    fn max_unauthenticated(&self) -> usize {
+        (self.max_connections / UNAUTHENTICATED_DIVISOR).max(1)
     }
 
-    pub(super) fn forget(&self, id: u32) {
+    pub(super) fn remove(&self, id: u32) {
         self.connections.lock().remove(&id);
     }
 
-    pub(super) fn end_all(&self) {
+    pub(super) fn close_all(&self) {
         for connection in self.connections.lock().values() {
-            connection.end();
+            connection.close();
         }
     }
 
--- a/crates/cranberrygap-link/src/server/stream.rs
+++ b/crates/cranberrygap-link/src/server/stream.rs
@@ -6,7 +6,7 @@
 use jsonrpsee::core::server::{PendingSubscriptionSink, SubscriptionSink};
 use jsonrpsee::types::Params;
 
-use super::connection::{Authentic, Connection};
+use super::connection::{Caller, Connection};
 use super::registry::Registry;
 use super::{Fault, Frames, accept};
 use crate::message;
@@ -14,7 +14,7 @@
 
 struct Writer {
     sink: SubscriptionSink,
-    authentic: Authentic,
+    authentic: Caller,
     counter: u64,
     sequence: u64,
 }
@@ -27,12 +27,12 @@
     registry: Arc<Registry>,
     extensions: jsonrpsee::Extensions,
 ) {
-    let checked = check(&params, &registry, &extensions);
+    let checked = verify_call(&params, &registry, &extensions);
     let Some((connection, envelope, authentic)) = checked else {
-        pending.reject(accept::stranger()).await;
+        pending.reject(accept::unauthenticated()).await;
         return;
     };
-    let opened = open(&registry, &authentic, &envelope).await;
+    let opened = open_frames(&registry, &authentic, &envelope).await;
     // Fails only if the connection has ended meanwhile.
     let Ok(sink) = pending.accept().await else {
         return;
@@ -45,30 +45,30 @@
     };
     match opened {
         Ok(frames) => forward(&mut writer, &connection, frames).await,
-        Err(fault) => drop(writer.send(&message::Answer::new(Err(fault))).await),
+        Err(fault) => drop(writer.send(&message::Response::new(Err(fault))).await),
     }
 }
 
-fn check(
+fn verify_call(
     params: &Params<'static>,
     registry: &Registry,
     extensions: &jsonrpsee::Extensions,
-) -> Option<(Arc<Connection>, session::Envelope, Authentic)> {
+) -> Option<(Arc<Connection>, session::Envelope, Caller)> {
     let envelope: session::Envelope = params.one().ok()?;
-    let connection = accept::find(registry, extensions).ok()?;
-    let authentic = connection.check(&envelope);
+    let connection = accept::find_connection(registry, extensions).ok()?;
+    let authentic = connection.verify_call(&envelope);
     if authentic.is_none() {
-        connection.end();
+        connection.close();
     }
     Some((connection, envelope, authentic?))
 }
 
-async fn open(
+async fn open_frames(
     registry: &Registry,
-    authentic: &Authentic,
+    authentic: &Caller,
     envelope: &session::Envelope,
 ) -> Result<Frames, Fault> {
-    let wrong = |cause: serde_json::Error| Fault::new(message::WRONG_PARAMS, cause.to_string());
+    let wrong = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
     let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(wrong)?;
     let stream = registry.stream(&call.method);
     let stream = stream.filter(|stream| stream.role == authentic.role);
@@ -78,7 +78,7 @@
 
 async fn forward(writer: &mut Writer, connection: &Connection, mut frames: Frames) {
     if !writer
-        .send(&message::Answer::new(Ok(message::raw(&()))))
+        .send(&message::Response::new(Ok(message::to_raw_json(&()))))
         .await
     {
         return;
@@ -87,11 +87,11 @@
         let frame = tokio::select! {
             frame = frames.next() => frame,
             () = writer.sink.closed() => return,
-            () = connection.ended() => return,
+            () = connection.closed() => return,
         };
         let answer = match frame {
-            Some(frame) => message::Answer::new(Ok(frame)),
-            None => message::Answer::end(),
+            Some(frame) => message::Response::new(Ok(frame)),
+            None => message::Response::end(),
         };
         if !writer.send(&answer).await || answer.end {
             return;
@@ -100,12 +100,15 @@
 }
 
 impl Writer {
-    async fn send(&mut self, answer: &message::Answer) -> bool {
+    async fn send(&mut self, answer: &message::Response) -> bool {
         let purpose = session::Purpose::Frame;
-        let body = message::raw(answer);
+        let body = message::to_raw_json(answer);
         let keys = &self.authentic.keys;
         let envelope = keys.seal(purpose, self.counter, self.sequence, body);
         self.sequence += 1;
-        self.sink.send(message::raw(&envelope)).await.is_ok()
+        self.sink
+            .send(message::to_raw_json(&envelope))
+            .await
+            .is_ok()
     }
 }
--- a/crates/cranberrygap-link/src/session.rs
+++ b/crates/cranberrygap-link/src/session.rs
@@ -8,7 +8,7 @@
 
 /// Calls that may be under way out of order on one connection. An older
 /// counter than that is refused, so the memory of used counters stays bounded.
-const WINDOW: usize = 4_096;
+const MAX_USED_COUNTERS: usize = 4_096;
 
 /// Which way and for what a message goes; a message of one kind is never taken
 /// for one of another.
@@ -17,7 +17,7 @@
     /// A call or the opening of a stream, from the connecting end.
     Call,
     /// The answer to a call.
-    Answer,
+    Response,
     /// One frame of a stream.
     Frame,
 }
@@ -87,7 +87,7 @@
     fn hash(&self, purpose: Purpose, counter: u64, sequence: u64, body: &RawValue) -> blake3::Hash {
         let (key, label) = match purpose {
             Purpose::Call => (&self.client, 0),
-            Purpose::Answer => (&self.server, 1),
+            Purpose::Response => (&self.server, 1),
             Purpose::Frame => (&self.server, 2),
         };
         let mut hasher = blake3::Hasher::new_keyed(key);
@@ -114,7 +114,7 @@
         while self.used.remove(&self.floor) {
             self.floor += 1;
         }
-        while self.used.len() > WINDOW {
+        while self.used.len() > MAX_USED_COUNTERS {
             if let Some(oldest) = self.used.pop_first() {
                 self.floor = oldest + 1;
             }
--- a/crates/cranberrygap-link/tests/link.rs
+++ b/crates/cranberrygap-link/tests/link.rs
@@ -186,7 +186,7 @@
 async fn connections_are_bounded() {
     let role = credential::Role::Fleet;
     let builder = server::Builder::new().secrets(role, vec![secret("fleet")]);
-    let listener = builder.connections(1).start(loopback()).await.unwrap();
+    let listener = builder.max_connections(1).start(loopback()).await.unwrap();
     let first = connect(&listener, "fleet").await.unwrap();
 
     let second = connect(&listener, "fleet").await;
--- a/crates/cranberrygap-link/tests/stranger.rs
+++ b/crates/cranberrygap-link/tests/stranger.rs
@@ -63,11 +63,11 @@
 
 async fn proven(fixture: &Fixture) -> Raw {
     let rpc = rpc(fixture).await;
-    let transcript = hello(&rpc, handshake::Nonce::draw().unwrap()).await;
+    let transcript = hello(&rpc, handshake::Nonce::generate().unwrap()).await;
     let proof = transcript.client_proof(&secret());
     let answer: handshake::Proof = rpc.request("link_prove", rpc_params![proof]).await.unwrap();
-    assert!(transcript.is_server(&secret(), &answer));
-    let keys = transcript.session(&secret());
+    assert!(transcript.is_server_proof(&secret(), &answer));
+    let keys = transcript.session_keys(&secret());
     Raw { rpc, keys }
 }
 
@@ -99,7 +99,7 @@
 async fn replayed_proof_is_refused() {
     let fixture = fixture().await;
     let first = rpc(&fixture).await;
-    let nonce = handshake::Nonce::draw().unwrap();
+    let nonce = handshake::Nonce::generate().unwrap();
     let recorded = hello(&first, nonce).await.client_proof(&secret());
     let taken = first.request::<handshake::Proof, _>("link_prove", rpc_params![&recorded]);
     assert!(taken.await.is_ok(), "the recorded proof was good");
@@ -117,7 +117,7 @@
 async fn challenge_can_be_answered_once_only() {
     let fixture = fixture().await;
     let rpc = rpc(&fixture).await;
-    let transcript = hello(&rpc, handshake::Nonce::draw().unwrap()).await;
+    let transcript = hello(&rpc, handshake::Nonce::generate().unwrap()).await;
     let other = credential::Secret::new(b"guess-0123456789abcdef").unwrap();
     let guess = transcript.client_proof(&other);
     let first = rpc.request::<handshake::Proof, _>("link_prove", rpc_params![guess]);
@@ -166,7 +166,7 @@
 async fn seal_of_an_answer_does_not_open_a_call() {
     let fixture = fixture().await;
     let raw = proven(&fixture).await;
-    let envelope = raw.keys.seal(session::Purpose::Answer, 0, 0, touch());
+    let envelope = raw.keys.seal(session::Purpose::Response, 0, 0, touch());
 
     let taken = send(&raw.rpc, &envelope).await;
 
@@ -192,7 +192,7 @@
     let role = credential::Role::Fleet;
     let builder = server::Builder::new().secrets(role, vec![secret()]);
     let address: address::Socket = "127.0.0.1:0".parse().unwrap();
-    let listener = builder.connections(8).start(address).await.unwrap();
+    let listener = builder.max_connections(8).start(address).await.unwrap();
     let mut strangers = Vec::new();
     for _ in 0..30 {
         strangers.push(
