--- a/crates/cranberrygap-link/src/client.rs
+++ b/crates/cranberrygap-link/src/client.rs
@@ -1,4 +1,4 @@
-//! The connecting end of a link.
+//! Client side of a link: connects, calls methods and subscribes to streams.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -19,36 +19,36 @@
 use crate::message;
 use crate::session;
 
-/// Time for a connection and its handshake together. A few round trips, also between
-/// regions; a process that stands still would hold up whoever looks for the leader.
+/// Timeout for connecting and the handshake together. It allows for a few round trips, also
+/// between regions. With a longer one, a hung process would delay callers that look for the
+/// leader.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time for the first frame of a stream. An end that has not caught up by then with what
-/// the subscriber has seen, or that stands still, would hold up a view which must not be
-/// two seconds old.
+/// Timeout for opening a stream, and again for its first frame. A server that hangs, or that
+/// is behind the revision the subscriber has seen, would delay a view that must stay less
+/// than two seconds old.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Upper bound that the library puts on any call; the caller's own deadline is
-/// shorter.
+/// Upper bound that the library puts on any call. The caller's own deadline is shorter.
 const MAX_CALL_DURATION: Duration = Duration::from_hours(1);
 
-/// Calls under way on one connection.
+/// Maximum concurrent calls on one connection.
 const MAX_CONCURRENT_CALLS: usize = 4_096;
 
-/// Tries to open a connection; the library counts them as redirections.
+/// Attempts to open a connection; the library counts them as redirections.
 const MAX_CONNECT_ATTEMPTS: usize = 1;
 
-/// Frames that wait for a slow reader before its stream ends.
+/// Frames buffered for a slow reader before its stream ends.
 const FRAME_BUFFER_CAPACITY: usize = 1_024;
 
-/// A connection on which both ends have proven themselves.
+/// A connection on which both ends are authenticated.
 pub struct Client {
     rpc: ws_client::WsClient,
     keys: session::Keys,
     counter: AtomicU64,
 }
 
-/// A stream of frames.
+/// A subscription to a stream of frames of type `F`.
 pub struct Subscription<F> {
     frames: rpc::Subscription<session::Envelope>,
     keys: session::Keys,
@@ -59,19 +59,19 @@
 }
 
 impl Client {
-    /// Connects to `address` and proves to be of `role`.
+    /// Connects to `address` and authenticates as `role`.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] or [`Error::NotAuthentic`]; nothing was asked.
+    /// [`Error::Unreachable`] or [`Error::NotAuthentic`]; no call was sent.
     pub async fn connect(
         address: address::Socket,
         role: credential::Role,
         secret: &credential::Secret,
     ) -> Result<Self, Error> {
-        let connecting = Self::connect_without_timeout(address, role, secret);
-        let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
-        connected.unwrap_or_else(|_elapsed| Err(unreachable(&"no connection in time")))
+        let attempt = Self::connect_without_timeout(address, role, secret);
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
+        connected.unwrap_or_else(|_elapsed| Err(unreachable(&"connecting timed out")))
     }
 
     async fn connect_without_timeout(
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Calls `method` and waits for the answer until `deadline` has passed.
+    /// Calls `method` and waits for the response for at most `deadline`.
     ///
     /// # Errors
     ///
@@ -115,23 +115,27 @@
     ) -> Result<R, Error> {
         let envelope = self.seal_call(method, params)?;
         let counter = envelope.counter;
-        let calling = self.rpc.request(message::CALL, rpc_params![envelope]);
-        let answer = tokio::time::timeout(deadline.to_std(), calling).await;
-        let answer: session::Envelope = match answer {
-            Ok(Ok(answer)) => answer,
+        let request = self.rpc.request(message::CALL, rpc_params![envelope]);
+        let response = tokio::time::timeout(deadline.to_std(), request).await;
+        let response: session::Envelope = match response {
+            Ok(Ok(response)) => response,
             Ok(Err(rpc::Error::RequestTimeout)) | Err(_) => return Err(Error::TimedOut),
             Ok(Err(_cause)) => return Err(Error::Closed),
         };
-        // Something between the ends altered the answer or gave that of another
-        // call. What the call did is then as unknown as after a lost answer.
-        let fits = answer.counter == counter && answer.sequence == 0;
-        if !fits || !self.keys.is_authentic(session::Purpose::Response, &answer) {
+        // An intermediary altered the response or returned that of another call. As
+        // after a lost response, it is unknown whether the call ran.
+        let is_expected = response.counter == counter && response.sequence == 0;
+        if !is_expected
+            || !self
+                .keys
+                .is_authentic(session::Purpose::Response, &response)
+        {
             return Err(Error::Closed);
         }
-        decode(&answer)?.ok_or_else(|| malformed(&"an answer without content"))
+        decode(&response)?.ok_or_else(|| malformed(&"the response has no content"))
     }
 
-    /// Opens a stream of frames.
+    /// Opens the stream `method` and waits until the server has accepted it.
     ///
     /// # Errors
     ///
@@ -143,10 +147,10 @@
     ) -> Result<Subscription<F>, Error> {
         let envelope = self.seal_call(method, params)?;
         let counter = envelope.counter;
-        let opening = self
+        let request = self
             .rpc
             .subscribe(message::OPEN, rpc_params![envelope], message::CLOSE);
-        let frames = match tokio::time::timeout(OPEN_TIMEOUT, opening).await {
+        let frames = match tokio::time::timeout(OPEN_TIMEOUT, request).await {
             Ok(Ok(frames)) => frames,
             Ok(Err(_cause)) => return Err(Error::Closed),
             Err(_elapsed) => return Err(Error::TimedOut),
@@ -159,7 +163,7 @@
             finished: false,
             frame: PhantomData,
         };
-        // The first frame is empty and tells that the stream was granted.
+        // The first frame is empty; it confirms that the server opened the stream.
         let opened = tokio::time::timeout(OPEN_TIMEOUT, subscription.receive());
         match opened.await {
             Ok(Some(Ok(envelope))) => decode::<()>(&envelope).map(drop)?,
@@ -207,7 +211,7 @@
 }
 
 impl<F: DeserializeOwned> Subscription<F> {
-    /// The next frame; `None` after the stream's orderly end.
+    /// Returns the next frame, or `None` after the end of the stream or after an error.
     pub async fn next(&mut self) -> Option<Result<F, Error>> {
         if self.finished {
             return None;
@@ -237,15 +241,17 @@
 }
 
 impl<F> Subscription<F> {
-    /// Takes the next envelope; one that is altered, left out or repeated on the
-    /// way ends the stream, since a view with a missing change would be wrong.
+    /// Receives the next envelope and verifies its seal and sequence number.
+    ///
+    /// An altered, missing or repeated envelope is an error that ends the stream, since a
+    /// view with a missing change would be wrong.
     async fn receive(&mut self) -> Option<Result<session::Envelope, Error>> {
         let envelope = match self.frames.next().await? {
             Ok(envelope) => envelope,
             Err(cause) => return Some(Err(malformed(&cause))),
         };
-        let fits = envelope.counter == self.counter && envelope.sequence == self.sequence;
-        if !fits || !self.keys.is_authentic(session::Purpose::Frame, &envelope) {
+        let is_expected = envelope.counter == self.counter && envelope.sequence == self.sequence;
+        if !is_expected || !self.keys.is_authentic(session::Purpose::Frame, &envelope) {
             return Some(Err(Error::Closed));
         }
         self.sequence += 1;
@@ -269,6 +275,7 @@
     }
 }
 
+/// Runs the handshake and returns the session keys.
 async fn authenticate(
     rpc: &ws_client::WsClient,
     role: credential::Role,
@@ -299,6 +306,8 @@
     Ok(transcript.session_keys(secret))
 }
 
+/// Maps a JSON-RPC error during the handshake: an error response means that the server
+/// rejected the client.
 fn handshake_error(cause: rpc::Error) -> Error {
     match cause {
         rpc::Error::Call(_) | rpc::Error::ParseError(_) => Error::NotAuthentic,
@@ -307,19 +316,19 @@
 }
 
 fn decode<R: DeserializeOwned>(envelope: &session::Envelope) -> Result<Option<R>, Error> {
-    let answer: message::Response =
+    let response: message::Response =
         serde_json::from_str(envelope.body.get()).map_err(|cause| malformed(&cause))?;
-    if let Some(fault) = answer.fault {
+    if let Some(fault) = response.fault {
         return Err(Error::Refused {
             code: fault.code,
             message: fault.message,
             data: fault.data,
         });
     }
-    if answer.end {
+    if response.end {
         return Ok(None);
     }
-    let content = answer.ok.as_ref().map_or("null", |ok| ok.get());
+    let content = response.ok.as_ref().map_or("null", |ok| ok.get());
     serde_json::from_str(content)
         .map(Some)
         .map_err(|cause| malformed(&cause))
--- a/crates/cranberrygap-link/src/credential.rs
+++ b/crates/cranberrygap-link/src/credential.rs
@@ -1,4 +1,4 @@
-//! Secrets that prove a process's or an operator's right to connect.
+//! Shared secrets that authenticate processes and operators.
 
 use std::fmt;
 use std::fs;
@@ -9,39 +9,39 @@
 use parking_lot::RwLock;
 use serde::{Deserialize, Serialize};
 
-/// Shortest secret that is taken, in bytes. Shorter ones could be found by
-/// trying all of them against one recorded handshake.
+/// Minimum length of a secret in bytes. A shorter one could be found by brute force
+/// against one recorded handshake.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Mode bits of group and others; a secret's file must have none of them.
+/// Mode bits of group and others. A secret file must have none of them set.
 const GROUP_AND_OTHERS_MASK: u32 = 0o077;
 
-/// Separates keys made from secrets from every other use of BLAKE3.
+/// BLAKE3 derivation context; it separates these keys from every other use of BLAKE3.
 const CONTEXT: &str = "cranberrygap 2026-12 link secret";
 
-/// Who may call a method.
+/// The role that a client authenticates as; each method is open to one role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// The system's own processes.
+    /// Processes of the fleet.
     Fleet,
-    /// People who operate the fleet, and their command line.
+    /// Operators and their command-line tool.
     Operator,
 }
 
-/// A shared secret; it is never printed or sent.
+/// A key derived from a shared secret. It is never printed or sent.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret {
     key: [u8; blake3::KEY_LEN],
 }
 
-/// The secret that a process shows; it may be changed while the process runs.
+/// The secret that a process authenticates with; it can be replaced at run time.
 #[derive(Debug)]
 pub struct Holder {
     current: RwLock<Secret>,
 }
 
-/// Why a secret's file was not taken.
+/// Why a secret file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file could not be read.
@@ -49,18 +49,18 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// Others than the owner may read the file.
+    /// The file mode gives access to users other than the owner.
     #[error("{path}: mode {mode:04o} lets others read it; run chmod 0600 on it", path = path.display())]
     Exposed {
         /// The file.
         path: PathBuf,
-        /// The mode that was found.
+        /// The mode of the file.
         mode: u32,
     },
-    /// The file holds too little.
+    /// The file holds no secret, or a line is too short.
     #[error("{path}: each line must hold a secret of at least {MIN_SECRET_BYTES} bytes", path = path.display())]
     TooShort {
         /// The file.
@@ -69,11 +69,12 @@
 }
 
 impl Secret {
-    /// Reads the first secret of a file that only its owner may read.
+    /// Reads the first secret of a file that only its owner can access.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, others may read it, or it is too short.
+    /// When the file cannot be read, other users have access to it, it holds no secret, or a
+    /// line is too short.
     pub fn read(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
         let secrets = Self::read_all(path)?;
@@ -82,15 +83,16 @@
         })
     }
 
-    /// Reads all secrets of a file, one a line.
+    /// Reads all secrets of a file, one per line.
     ///
-    /// The first is shown to others, any is taken from them. So a secret is
-    /// changed while all processes run: the new one becomes the second line
-    /// everywhere, then the first everywhere, and then the old one goes.
+    /// A process authenticates with the first secret and accepts all of them. To rotate a
+    /// secret while all processes run, add the new one as the second line everywhere, then
+    /// make it the first line everywhere, then remove the old one.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, others may read it, or a line is too short.
+    /// When the file cannot be read, other users have access to it, it holds no secret, or a
+    /// line is too short.
     pub fn read_all(path: impl AsRef<Path>) -> Result<Vec<Self>, Error> {
         let path = path.as_ref();
         let unreadable = |cause| Error::Unreadable {
@@ -114,23 +116,23 @@
         })
     }
 
-    /// What operators on loopback show when no token was set. It is no secret;
-    /// a listener may take it on loopback only.
+    /// Returns the well-known key for operators on loopback when no token is set. It is not
+    /// secret; a listener may accept it on loopback only.
     #[must_use]
     pub fn loopback() -> Self {
         let key = blake3::derive_key(CONTEXT, b"loopback without a token");
         Self { key }
     }
 
-    /// What processes show each other on a network that keeps strangers out by
-    /// itself. It is no secret; settings must ask for it by name.
+    /// Returns the well-known key for processes on a network that admits only the fleet. It
+    /// is not secret; the settings must enable it explicitly.
     #[must_use]
     pub fn trusted_network() -> Self {
         let key = blake3::derive_key(CONTEXT, b"a network that is trusted");
         Self { key }
     }
 
-    /// A secret from its bytes; `None` when there are too few.
+    /// Derives a secret from its bytes; `None` if there are fewer than [`MIN_SECRET_BYTES`].
     #[must_use]
     pub fn new(content: &[u8]) -> Option<Self> {
         if content.len() < MIN_SECRET_BYTES {
@@ -146,20 +148,20 @@
 }
 
 impl Holder {
-    /// Shows `secret` from now on.
+    /// Creates a holder of `secret`.
     #[must_use]
     pub const fn new(secret: Secret) -> Self {
         let current = RwLock::new(secret);
         Self { current }
     }
 
-    /// The secret to show on a new connection.
+    /// Returns the secret for a new connection.
     #[must_use]
     pub fn current(&self) -> Secret {
         self.current.read().clone()
     }
 
-    /// Shows another secret from the next connection on.
+    /// Replaces the secret; open connections keep the old one.
     pub fn replace(&self, secret: Secret) {
         *self.current.write() = secret;
     }
--- a/crates/cranberrygap-link/src/error.rs
+++ b/crates/cranberrygap-link/src/error.rs
@@ -1,54 +1,54 @@
-//! What a caller learns about a call that did not succeed.
+//! Errors of a call.
 
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// Why a call brought no answer, told apart by what is known of its effect.
+/// Why a call failed; the variants tell whether it may have run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// Nothing was sent.
+    /// The call was not sent.
     #[error("not sent: {reason}")]
     Unreachable {
-        /// What stood in the way.
+        /// Why it could not be sent.
         reason: SmolStr,
     },
-    /// One end did not prove that it holds the secret; nothing was sent.
-    #[error("not sent: the other end holds another secret or is a stranger")]
+    /// Authentication failed at one end; the call was not sent.
+    #[error("not sent: authentication failed, the peer does not hold the same secret")]
     NotAuthentic,
-    /// The message is above the size limit and was not sent.
-    #[error("not sent: the message has {size} bytes, at most {limit} are taken")]
+    /// The message exceeds the size limit and was not sent.
+    #[error("not sent: the message has {size} bytes, the limit is {limit}")]
     TooLarge {
-        /// Bytes of the message.
+        /// Size of the message in bytes.
         size: usize,
-        /// Most bytes that the link takes.
+        /// Maximum size in bytes.
         limit: usize,
     },
-    /// No answer within the deadline; whether the call ran is not known.
-    #[error("no answer in time; whether it ran is not known")]
+    /// No response arrived before the deadline; it is unknown whether the call ran.
+    #[error("no response before the deadline; it is unknown whether the call ran")]
     TimedOut,
-    /// The connection ended first; whether the call ran is not known.
-    #[error("the connection closed before an answer; whether it ran is not known")]
+    /// The connection closed before the response; it is unknown whether the call ran.
+    #[error("the connection closed before the response; it is unknown whether the call ran")]
     Closed,
-    /// The other end understood the call and refused it.
+    /// The server understood the call and refused it.
     #[error("refused ({code}): {message}")]
     Refused {
-        /// A stable code, see `cranberrygap_wire::method`.
+        /// Stable code, see `cranberrygap_wire::method`.
         code: i32,
-        /// A sentence for people.
+        /// Human-readable message.
         message: SmolStr,
-        /// More about it, null when there is no more.
+        /// Machine-readable details, or null.
         data: Value,
     },
-    /// The answer is authentic but does not have the expected form.
-    #[error("the answer does not have the expected form: {reason}")]
+    /// The response is authentic but cannot be decoded.
+    #[error("malformed response: {reason}")]
     Malformed {
-        /// What is wrong with it.
+        /// Why decoding failed.
         reason: SmolStr,
     },
 }
 
 impl Error {
-    /// Whether it is certain that the other end never got the call.
+    /// Whether the call is certain not to have reached the server.
     #[must_use]
     pub const fn not_sent(&self) -> bool {
         matches!(
--- a/crates/cranberrygap-link/src/handshake.rs
+++ b/crates/cranberrygap-link/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Proof of a shared secret by answering each other's nonce.
+//! Mutual challenge-response handshake over a shared secret.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -6,66 +6,66 @@
 use crate::credential;
 use crate::session;
 
-/// Bytes of a nonce; far too many for two connections to draw the same.
+/// Size of a nonce; large enough that two connections never generate the same one.
 const NONCE_BYTES: usize = 32;
 
-/// A number that is used once.
+/// A random number that is used in one handshake only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Nonce([u8; NONCE_BYTES]);
 
-/// First message, from the connecting end.
+/// First message, from the client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The role that the connecting end claims.
+    /// The role that the client claims.
     pub role: credential::Role,
-    /// The connecting end's nonce in hex.
+    /// The client's nonce in hex.
     pub nonce: SmolStr,
 }
 
-/// Second message, from the accepting end.
+/// Second message, from the server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Challenge {
-    /// The accepting end's nonce in hex.
+    /// The server's nonce in hex.
     pub nonce: SmolStr,
 }
 
-/// Third and fourth message: an end's proof in hex.
+/// Third and fourth message: the proof of the client, then that of the server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proof {
-    /// Keyed hash over both nonces, the role and which end proves.
+    /// Keyed hash over the end that proves, the role and both nonces, in hex.
     pub proof: SmolStr,
 }
 
-/// Both nonces and the role: what a proof speaks of.
+/// The input of both proofs: the role and both nonces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transcript {
-    /// The role that is proven.
+    /// The role that the client claims.
     pub role: credential::Role,
-    /// Nonce of the connecting end.
+    /// Nonce of the client.
     pub client: Nonce,
-    /// Nonce of the accepting end.
+    /// Nonce of the server.
     pub server: Nonce,
 }
 
 impl Nonce {
-    /// A nonce from the operating system's random numbers.
+    /// Generates a nonce with the operating system's random number generator.
     ///
     /// # Errors
     ///
-    /// When the system gives no random numbers.
+    /// When the operating system provides no random numbers.
     pub fn generate() -> Result<Self, getrandom::Error> {
         let mut bytes = [0; NONCE_BYTES];
         getrandom::fill(&mut bytes)?;
         Ok(Self(bytes))
     }
 
-    /// The nonce in hex.
+    /// Returns the nonce in hex.
     #[must_use]
     pub fn to_hex(self) -> SmolStr {
         SmolStr::new(blake3::Hash::from_bytes(self.0).to_hex().as_str())
     }
 
-    /// Reads a nonce from hex.
+    /// Parses a nonce from hex.
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         let bytes = blake3::Hash::from_hex(text).ok()?;
@@ -74,7 +74,7 @@
 }
 
 impl Transcript {
-    /// The connecting end's proof that it holds `secret`.
+    /// Returns the client's proof that it holds `secret`.
     #[must_use]
     pub fn client_proof(&self, secret: &credential::Secret) -> Proof {
         Proof {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The accepting end's proof that it holds `secret`.
+    /// Returns the server's proof that it holds `secret`.
     #[must_use]
     pub fn server_proof(&self, secret: &credential::Secret) -> Proof {
         Proof {
@@ -90,19 +90,19 @@
         }
     }
 
-    /// Whether `proof` is the connecting end's for `secret`.
+    /// Whether `proof` is the client's proof for `secret`.
     #[must_use]
     pub fn is_client_proof(&self, secret: &credential::Secret, proof: &Proof) -> bool {
         is_proof_equal(self.hash(secret, "client"), proof)
     }
 
-    /// Whether `proof` is the accepting end's for `secret`.
+    /// Whether `proof` is the server's proof for `secret`.
     #[must_use]
     pub fn is_server_proof(&self, secret: &credential::Secret, proof: &Proof) -> bool {
         is_proof_equal(self.hash(secret, "server"), proof)
     }
 
-    /// The keys of the session that follows.
+    /// Derives the keys of the session after the handshake.
     #[must_use]
     pub fn session_keys(&self, secret: &credential::Secret) -> session::Keys {
         session::Keys::new(self.hash(secret, "session"))
@@ -120,7 +120,7 @@
     }
 }
 
-/// Compares in constant time, which `blake3::Hash` does.
+/// Compares in constant time, as `==` of `blake3::Hash` does.
 fn is_proof_equal(expected: blake3::Hash, proof: &Proof) -> bool {
     blake3::Hash::from_hex(proof.proof.as_str()).is_ok_and(|found| found == expected)
 }
--- a/crates/cranberrygap-link/src/lib.rs
+++ b/crates/cranberrygap-link/src/lib.rs
@@ -1,10 +1,10 @@
 //! Authenticated connections between the processes over jsonrpsee.
 //!
 //! Both ends prove that they hold the secret of a [`credential::Role`] without
-//! sending it: each answers the other's nonce with a keyed hash. The proof
-//! yields a key for the session, and every later message in either direction
-//! carries a counter and a keyed hash under it. So whoever relays a handshake
-//! can neither add, change nor repeat a message. The content is not encrypted.
+//! sending it: each answers the other's nonce with a keyed hash. The handshake
+//! yields the session keys, and every later message in either direction carries
+//! a counter and a keyed hash. A relay between the ends can therefore neither
+//! add, change nor replay a message. The content is not encrypted.
 
 pub mod client;
 pub mod clock;
--- a/crates/cranberrygap-link/src/message.rs
+++ b/crates/cranberrygap-link/src/message.rs
@@ -1,4 +1,4 @@
-//! Names, bounds and bodies of the messages on a link.
+//! Method names, limits and bodies of the messages on a link.
 
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
 
 use crate::server;
 
-/// First message of a handshake.
+/// Method of the first handshake message.
 pub(crate) const HELLO: &str = "link_hello";
-/// Second message of a handshake.
+/// Method of the third handshake message, the client's proof.
 pub(crate) const PROVE: &str = "link_prove";
-/// A sealed call.
+/// Method that carries a sealed call.
 pub(crate) const CALL: &str = "link_call";
-/// A sealed call that opens a stream.
+/// Method that opens a stream with a sealed call.
 pub(crate) const OPEN: &str = "link_open";
-/// Name of a stream's notifications.
+/// Method of a stream's notifications.
 pub(crate) const FRAME: &str = "link_frame";
-/// Ends a stream.
+/// Method that closes a stream.
 pub(crate) const CLOSE: &str = "link_close";
 
-/// Largest message in bytes. A whole view at the planned size (1,300 models,
-/// 600 endpoints) is below 2 MiB, a block of a replica's snapshot below 4 MiB.
+/// Maximum message size in bytes. A full view at the planned size (1,300 models,
+/// 600 endpoints) is below 2 MiB, a chunk of a replica's snapshot below 4 MiB.
 pub(crate) const MAX_MESSAGE_BYTES: u32 = 16 << 20;
 
-/// Room that the envelope takes beside the body.
+/// Upper bound of the bytes that the envelope adds to the body.
 pub(crate) const ENVELOPE_OVERHEAD_BYTES: usize = 1_024;
 
-/// How often each end pings the other.
+/// Interval at which each end pings the other.
 pub(crate) const PING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Silence after which a connection counts as dead. Something between the ends
-/// may have lost track of the connection; then nothing arrives any more and no
-/// error does either. Both ends see it by the missing answers to their pings.
+/// Time without any message after which a connection counts as dead. A middlebox that
+/// drops its state of the connection causes no error, packets just stop arriving. Both
+/// ends detect that by the missing replies to their pings.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// JSON-RPC code for whoever has not proven itself.
+/// JSON-RPC error code for a client that is not authenticated.
 pub(crate) const UNAUTHENTICATED: i32 = -32_010;
 
 /// Fault code of an unknown method.
 pub(crate) const UNKNOWN_METHOD: i32 = -32_601;
-/// Fault code of parameters that do not have the method's form.
+/// Fault code of parameters that cannot be decoded.
 pub(crate) const INVALID_PARAMS: i32 = -32_602;
-/// Fault code of an answer that could not be written.
+/// Fault code of a result that cannot be encoded.
 pub(crate) const INTERNAL_ERROR: i32 = -32_603;
 
 /// Body of a call.
@@ -54,7 +54,7 @@
     pub(crate) params: Box<RawValue>,
 }
 
-/// Body of an answer or of a frame. It is a struct because tagged enums cannot
+/// Body of a response or of a frame. It is a struct because tagged enums cannot
 /// hold raw JSON.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Response {
@@ -62,11 +62,12 @@
     pub(crate) ok: Option<Box<RawValue>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) fault: Option<Fault>,
-    /// The stream ended in an orderly way.
+    /// Marks the last frame of a stream.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub(crate) end: bool,
 }
 
+/// A refusal in a response; mirrors [`server::Fault`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Fault {
     pub(crate) code: i32,
@@ -100,7 +101,7 @@
     }
 }
 
-/// JSON of a type whose serialisation cannot fail.
+/// Serialises a type whose serialisation cannot fail.
 pub(crate) fn to_raw_json<T: Serialize>(content: &T) -> Box<RawValue> {
     serde_json::value::to_raw_value(content).expect("plain structs with text keys become JSON")
 }
--- a/crates/cranberrygap-link/src/processor.rs
+++ b/crates/cranberrygap-link/src/processor.rs
@@ -1,29 +1,29 @@
-//! Processor time that was used.
+//! Processor time of threads, the process and futures.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Processor time of the calling thread so far.
+/// Returns the processor time that the calling thread has used.
 #[must_use]
 pub fn thread_time() -> Duration {
     read_clock(ClockId::ThreadCPUTime)
 }
 
-/// Processor time of the whole process so far.
+/// Returns the processor time that the whole process has used.
 #[must_use]
 pub fn process_time() -> Duration {
     read_clock(ClockId::ProcessCPUTime)
 }
 
-/// Runs `work` to its end; gives its output and the processor time of its steps.
+/// Awaits `work` and returns its output with the processor time of its polls.
 pub async fn measure<F: Future>(work: F) -> (F::Output, Duration) {
     let mut work = std::pin::pin!(work);
     let mut spent = Duration::ZERO;
     let output = std::future::poll_fn(|context| {
-        let begin = thread_time();
+        let start = thread_time();
         let polled = work.as_mut().poll(context);
-        spent += thread_time().saturating_sub(begin);
+        spent += thread_time().saturating_sub(start);
         polled
     });
     let output = output.await;
--- a/crates/cranberrygap-link/src/server.rs
+++ b/crates/cranberrygap-link/src/server.rs
@@ -1,4 +1,4 @@
-//! The accepting end of a link.
+//! Server side of a link: methods, streams and the listener that serves them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -25,30 +25,30 @@
 
 pub use accept::Handle;
 
-/// Connections that one listener holds. 390 entries and 7 controls with two
+/// Default limit of open connections per listener. 390 entries and 7 controls with two
 /// connections each stay below it.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// Why a call is refused; the caller gets all of it.
+/// Why a call is refused; all fields are sent to the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// A stable code, see `cranberrygap_wire::method`.
+    /// Stable code, see `cranberrygap_wire::method`.
     pub code: i32,
-    /// A sentence for people.
+    /// Human-readable message.
     pub message: SmolStr,
-    /// More about it, null when there is no more.
+    /// Machine-readable details, or null.
     pub data: Value,
 }
 
 /// Why a listener did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address cannot be listened on.
+    /// Binding to the address failed.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address to bind to.
         address: address::Socket,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
 }
@@ -57,8 +57,8 @@
 type Frames = BoxStream<'static, Box<RawValue>>;
 type Opening = BoxFuture<'static, Result<Frames, Fault>>;
 
-/// Told of each call that ended: its method, and the processor time from its envelope to the
-/// sealed answer.
+/// Callback for each completed call: its method, and the processor time from its envelope to
+/// the sealed response.
 type Meter = Arc<dyn Fn(&str, Duration) + Send + Sync>;
 
 struct Method {
@@ -71,7 +71,7 @@
     open: Box<dyn Fn(Box<RawValue>) -> Opening + Send + Sync>,
 }
 
-/// What a listener offers, and to whom.
+/// Configures a listener: secrets, methods, streams and limits.
 #[derive(Default)]
 pub struct Builder {
     secrets: BTreeMap<credential::Role, Vec<credential::Secret>>,
@@ -82,7 +82,7 @@
 }
 
 impl Fault {
-    /// A fault without further data.
+    /// Creates a fault without data.
     #[must_use]
     pub fn new(code: i32, message: impl Into<SmolStr>) -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The fault with data that a program can read.
+    /// Adds machine-readable data to the fault.
     #[must_use]
     pub fn with_data(self, data: Value) -> Self {
         Self { data, ..self }
@@ -100,37 +100,39 @@
 }
 
 impl Builder {
-    /// A listener that offers nothing yet.
+    /// Creates a builder without methods and streams.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes any of `secrets` as proof of `role`. With several of them a secret
-    /// can be changed while all processes run: first every listener takes both,
-    /// then every client shows the new one, then the old one goes.
+    /// Accepts any of `secrets` for `role`.
+    ///
+    /// Several secrets allow a rotation while all processes run: first every listener
+    /// accepts both, then every client changes to the new one, then the old one is removed.
     #[must_use]
     pub fn secrets(mut self, role: credential::Role, secrets: Vec<credential::Secret>) -> Self {
         self.secrets.insert(role, secrets);
         self
     }
 
-    /// Holds at most so many connections.
+    /// Sets the limit of open connections.
     #[must_use]
-    pub const fn max_connections(mut self, most: usize) -> Self {
-        self.max_connections = Some(most);
+    pub const fn max_connections(mut self, limit: usize) -> Self {
+        self.max_connections = Some(limit);
         self
     }
 
-    /// Tells `meter` of each call that ended: its method, and the processor time that reading,
-    /// answering and writing it took here. What sockets and frames cost is not in it.
+    /// Calls `meter` after each call with its method and the processor time spent on decoding
+    /// it, running it and encoding the response. The cost of sockets and frames is not
+    /// included.
     #[must_use]
     pub fn meter(mut self, meter: impl Fn(&str, Duration) + Send + Sync + 'static) -> Self {
         self.meter = Some(Arc::new(meter));
         self
     }
 
-    /// Offers a method to whoever proved `role`.
+    /// Adds a method for clients authenticated as `role`.
     #[must_use]
     pub fn method<P, R, H, A>(mut self, name: &str, role: credential::Role, handler: H) -> Self
     where
@@ -144,8 +146,8 @@
             let handler = Arc::clone(&handler);
             Box::pin(async move {
                 let params = decode(&params)?;
-                let answer = handler(params).await?;
-                encode(&answer)
+                let result = handler(params).await?;
+                encode(&result)
             })
         };
         let run = Box::new(run);
@@ -153,7 +155,7 @@
         self
     }
 
-    /// Offers a stream of frames to whoever proved `role`.
+    /// Adds a stream of frames for clients authenticated as `role`.
     #[must_use]
     pub fn subscription<P, F, H, A>(
         mut self,
@@ -185,14 +187,14 @@
         self
     }
 
-    /// Listens on `address`; port 0 takes any free one.
+    /// Starts to listen on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// When the address cannot be listened on.
+    /// When binding to `address` fails.
     pub async fn start(self, address: address::Socket) -> Result<Handle, Error> {
-        let most = self.max_connections.unwrap_or(MAX_CONNECTIONS);
-        let registry = registry::Registry::new(self.secrets, self.methods, self.streams, most);
+        let limit = self.max_connections.unwrap_or(MAX_CONNECTIONS);
+        let registry = registry::Registry::new(self.secrets, self.methods, self.streams, limit);
         let registry = registry.with_meter(self.meter);
         Handle::listen(Arc::new(registry), address).await
     }
@@ -212,7 +214,7 @@
         .map_err(|cause| Fault::new(message::INVALID_PARAMS, cause.to_string()))
 }
 
-fn encode<R: Serialize>(answer: &R) -> Result<Box<RawValue>, Fault> {
-    serde_json::value::to_raw_value(answer)
+fn encode<R: Serialize>(result: &R) -> Result<Box<RawValue>, Fault> {
+    serde_json::value::to_raw_value(result)
         .map_err(|cause| Fault::new(message::INTERNAL_ERROR, cause.to_string()))
 }
--- a/crates/cranberrygap-link/src/server/accept.rs
+++ b/crates/cranberrygap-link/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and hands each to the JSON-RPC library.
+//! Accepts connections and serves each with the JSON-RPC library.
 
 use std::fmt;
 use std::sync::Arc;
@@ -21,17 +21,17 @@
 use crate::processor;
 use crate::session;
 
-/// Time in which a connection must prove itself. A stranger could otherwise
-/// hold connections open until no process of the fleet finds a free one.
+/// Time within which a client must authenticate. Otherwise unauthenticated clients could
+/// hold connections open until the limit leaves none for the fleet.
 const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Streams that one connection may hold open.
+/// Maximum open streams per connection.
 const MAX_STREAMS: u32 = 16;
 
-/// Messages that wait for a slow reader before the sender waits too.
+/// Messages buffered for a slow reader before the sender has to wait.
 const MESSAGE_BUFFER_CAPACITY: u32 = 256;
 
-/// Pause after a failed accept, such as when no file descriptor is free.
+/// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A running listener; it stops when the handle is dropped.
@@ -58,25 +58,25 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address the listener is bound to.
     #[must_use]
     pub const fn address(&self) -> address::Socket {
         self.address
     }
 
-    /// Open connections, proven or not.
+    /// Returns the number of open connections, authenticated or not.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.registry.count()
     }
 
-    /// Changes the secrets of a role at run time. Connections that rest on a
-    /// secret that is no longer taken end.
+    /// Replaces the secrets of a role at run time and closes the connections that
+    /// authenticated with a removed secret.
     pub fn replace_secrets(&self, role: credential::Role, secrets: Vec<credential::Secret>) {
         self.registry.replace_secrets(role, secrets);
     }
 
-    /// Stops listening and ends all connections.
+    /// Stops listening and closes all connections.
     pub fn stop(&self) {
         self.stop.send_replace(true);
         self.registry.close_all();
@@ -104,7 +104,7 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let module = rpc_module(&registry);
-    let mut next: u32 = 0;
+    let mut last_id: u32 = 0;
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -114,8 +114,8 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        next = next.wrapping_add(1);
-        serve(socket, next, &registry, module.clone());
+        last_id = last_id.wrapping_add(1);
+        serve(socket, last_id, &registry, module.clone());
     }
 }
 
@@ -123,7 +123,7 @@
     let (stop, handle) = server::stop_channel();
     let connection = Arc::new(Connection::new(handle));
     if !registry.insert(id, Arc::clone(&connection)) {
-        spdlog::warn!("link: too many connections, one was refused");
+        spdlog::warn!("link: refused a connection, the limit of open connections is reached");
         return;
     }
     // Fails only on a socket that is already closed.
@@ -140,7 +140,7 @@
             let stopped = stop.shutdown();
             let served = server::serve_with_graceful_shutdown(socket, service, stopped).await;
             if let Err(cause) = served {
-                spdlog::debug!("link: a connection ended: {cause}");
+                spdlog::debug!("link: a connection failed: {cause}");
             }
             closed.await;
         };
@@ -148,7 +148,7 @@
         tokio::select! {
             () = &mut serving => {}
             () = authentication_timeout(&connection) => {
-                spdlog::warn!("link: a connection that did not prove itself was closed");
+                spdlog::warn!("link: closed a connection that did not authenticate in time");
                 connection.close();
             }
         }
@@ -156,10 +156,10 @@
     });
 }
 
-/// Ends when the connection has not proven itself in time, else never.
+/// Completes when the authentication timeout passes; never once the client is authenticated.
 async fn authentication_timeout(connection: &Connection) {
-    let proven = tokio::time::timeout(AUTHENTICATION_TIMEOUT, connection.authenticated());
-    if proven.await.is_ok() {
+    let authenticated = tokio::time::timeout(AUTHENTICATION_TIMEOUT, connection.authenticated());
+    if authenticated.await.is_ok() {
         std::future::pending::<()>().await;
     }
 }
@@ -181,7 +181,7 @@
 
 fn rpc_module(registry: &Arc<Registry>) -> server::Methods {
     let mut module = RpcModule::from_arc(Arc::clone(registry));
-    let distinct = "the names on a link are distinct";
+    let distinct = "method names on a link are distinct";
     module
         .register_method(message::HELLO, |params, registry, extensions| {
             let hello: handshake::Hello = params.one()?;
@@ -198,13 +198,13 @@
     module
         .register_async_method(message::CALL, |params, registry, extensions| async move {
             let mut name = SmolStr::default();
-            let answering = handle_call(&params, &registry, &extensions, &mut name);
+            let handling = handle_call(&params, &registry, &extensions, &mut name);
             let Some(meter) = registry.meter() else {
-                return answering.await;
+                return handling.await;
             };
-            let (answer, spent) = processor::measure(answering).await;
+            let (response, spent) = processor::measure(handling).await;
             meter(&name, spent);
-            answer
+            response
         })
         .expect(distinct);
     module
@@ -220,14 +220,14 @@
 ) -> Result<handshake::Proof, ErrorObjectOwned> {
     let connection = find_connection(registry, extensions)?;
     let role = connection.claimed_role().ok_or_else(unauthenticated)?;
-    let answer = connection.verify_proof(proof, registry.secrets(role));
-    if answer.is_none() {
-        spdlog::warn!("link: a stranger that claimed the role {role} was refused");
+    let server_proof = connection.verify_proof(proof, registry.secrets(role));
+    if server_proof.is_none() {
+        spdlog::warn!("link: refused a client that failed to authenticate as {role}");
     }
-    answer.ok_or_else(unauthenticated)
+    server_proof.ok_or_else(unauthenticated)
 }
 
-/// Answers a sealed call; `name` is its method once that is known.
+/// Verifies a sealed call and runs its method; sets `name` to the method once decoded.
 async fn handle_call(
     params: &Params<'static>,
     registry: &Registry,
@@ -236,19 +236,19 @@
 ) -> Result<session::Envelope, ErrorObjectOwned> {
     let envelope: session::Envelope = params.one()?;
     let connection = find_connection(registry, extensions)?;
-    let Some(authentic) = connection.verify_call(&envelope) else {
-        // An altered or repeated message means that something between
-        // the ends plays with the connection; it is of no more use.
+    let Some(caller) = connection.verify_call(&envelope) else {
+        // An altered or replayed message means that an intermediary tampers with the
+        // connection, so it is closed.
         connection.close();
         return Err(unauthenticated());
     };
     let result = tokio::select! {
-        result = run_method(registry, authentic.role, &envelope, name) => result,
+        result = run_method(registry, caller.role, &envelope, name) => result,
         () = connection.closed() => return Err(unauthenticated()),
     };
     let body = message::to_raw_json(&message::Response::new(result));
     let purpose = session::Purpose::Response;
-    Ok(authentic.keys.seal(purpose, envelope.counter, 0, body))
+    Ok(caller.keys.seal(purpose, envelope.counter, 0, body))
 }
 
 async fn run_method(
@@ -257,8 +257,8 @@
     envelope: &session::Envelope,
     name: &mut SmolStr,
 ) -> Result<Box<serde_json::value::RawValue>, Fault> {
-    let wrong = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
-    let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(wrong)?;
+    let invalid = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
+    let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(invalid)?;
     name.clone_from(&call.method);
     let method = registry
         .method(&call.method)
@@ -278,6 +278,7 @@
     connection.ok_or_else(unauthenticated)
 }
 
+/// Error response to a client that is not authenticated.
 pub(super) fn unauthenticated() -> ErrorObjectOwned {
     ErrorObjectOwned::owned(message::UNAUTHENTICATED, "prove yourself first", None::<()>)
 }
--- a/crates/cranberrygap-link/src/server/connection.rs
+++ b/crates/cranberrygap-link/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One accepted connection and how far it has proven itself.
+//! One accepted connection and its authentication state.
 
 use jsonrpsee::server;
 use parking_lot::Mutex;
@@ -8,7 +8,7 @@
 use crate::handshake;
 use crate::session;
 
-/// State of one connection.
+/// One accepted connection.
 pub(super) struct Connection {
     phase: Mutex<Phase>,
     stop: server::ServerHandle,
@@ -30,7 +30,7 @@
     window: session::Window,
 }
 
-/// A call that was sealed by whoever proved the role.
+/// The authenticated sender of a verified call.
 pub(super) struct Caller {
     pub(super) role: credential::Role,
     pub(super) keys: session::Keys,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Answers a hello with a challenge, once for a connection.
+    /// Answers a hello with a challenge, once per connection.
     pub(super) fn challenge(&self, hello: &handshake::Hello) -> Option<handshake::Challenge> {
         let client = handshake::Nonce::from_hex(&hello.nonce)?;
         let server = handshake::Nonce::generate().ok()?;
@@ -63,7 +63,7 @@
         Some(handshake::Challenge { nonce })
     }
 
-    /// The role that a challenged connection claims.
+    /// Returns the role that the client claims, once it is challenged.
     pub(super) fn claimed_role(&self) -> Option<credential::Role> {
         match &*self.phase.lock() {
             Phase::Challenged(transcript) => Some(transcript.role),
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Checks the other end's proof and gives this end's. A challenge serves
-    /// one try only, so that a connection cannot be used for guessing.
+    /// Verifies the client's proof and returns the server's. A challenge allows one attempt
+    /// only, so that secrets cannot be guessed repeatedly on one connection.
     pub(super) fn verify_proof(
         &self,
         proof: &handshake::Proof,
@@ -82,9 +82,9 @@
         let Phase::Challenged(transcript) = std::mem::replace(&mut *phase, Phase::Closed) else {
             return None;
         };
-        let fits = |secret: &credential::Secret| transcript.is_client_proof(secret, proof);
-        let secret = secrets.into_iter().find(fits)?;
-        let answer = transcript.server_proof(&secret);
+        let is_proven = |secret: &credential::Secret| transcript.is_client_proof(secret, proof);
+        let secret = secrets.into_iter().find(is_proven)?;
+        let server_proof = transcript.server_proof(&secret);
         *phase = Phase::Authenticated(Session {
             role: transcript.role,
             keys: transcript.session_keys(&secret),
@@ -93,10 +93,10 @@
         });
         drop(phase);
         self.authenticated.send_replace(true);
-        Some(answer)
+        Some(server_proof)
     }
 
-    /// Checks a sealed call: by this session, unaltered and not seen before.
+    /// Verifies a sealed call: sent in this session, unaltered and not a replay.
     pub(super) fn verify_call(&self, envelope: &session::Envelope) -> Option<Caller> {
         let mut phase = self.phase.lock();
         let Phase::Authenticated(session) = &mut *phase else {
@@ -114,6 +114,7 @@
         })
     }
 
+    /// Whether the client authenticated as `role` with a secret that is not in `secrets`.
     pub(super) fn uses_revoked_secret(
         &self,
         role: credential::Role,
@@ -127,31 +128,31 @@
         }
     }
 
-    /// Whether the other end has not proven itself yet.
+    /// Whether the client has not authenticated yet.
     pub(super) fn is_unauthenticated(&self) -> bool {
         matches!(*self.phase.lock(), Phase::New | Phase::Challenged(_))
     }
 
-    /// Ends the connection; nothing is taken from it any more.
+    /// Closes the connection; no further call on it is accepted.
     pub(super) fn close(&self) {
         *self.phase.lock() = Phase::Closed;
         self.closed.send_replace(true);
-        // Fails only if it was stopped before.
+        // Fails only if the connection was stopped before.
         let _ = self.stop.stop();
     }
 
-    /// Waits until nothing more may be sent or taken. The library itself waits
-    /// for calls under way, which may last; whoever runs one watches this.
+    /// Waits until the connection is closed. On shutdown the library waits for running calls,
+    /// which may take long, so every running call or stream also waits for this.
     pub(super) async fn closed(&self) {
-        let mut ended = self.closed.subscribe();
-        // Fails only if the sender is gone, which this connection holds.
-        drop(ended.wait_for(|ended| *ended).await);
+        let mut closed = self.closed.subscribe();
+        // Fails only if the sender is dropped, and `self` holds it.
+        drop(closed.wait_for(|closed| *closed).await);
     }
 
-    /// Waits until the other end has proven itself.
+    /// Waits until the client has authenticated.
     pub(super) async fn authenticated(&self) {
-        let mut proven = self.authenticated.subscribe();
-        // Fails only if the sender is gone, which this connection holds.
-        drop(proven.wait_for(|proven| *proven).await);
+        let mut authenticated = self.authenticated.subscribe();
+        // Fails only if the sender is dropped, and `self` holds it.
+        drop(authenticated.wait_for(|authenticated| *authenticated).await);
     }
 }
--- a/crates/cranberrygap-link/src/server/registry.rs
+++ b/crates/cranberrygap-link/src/server/registry.rs
@@ -1,4 +1,4 @@
-//! What a listener knows: secrets, methods and open connections.
+//! A listener's secrets, methods, streams and open connections.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use super::{Meter, Method, Stream};
 use crate::credential;
 
-/// Part of all places that connections without a proof may take: one in so many.
+/// Unauthenticated connections may take one in this many of all connections.
 const UNAUTHENTICATED_DIVISOR: usize = 16;
 
-/// Shared by all connections of one listener.
+/// State shared by all connections of one listener.
 pub(super) struct Registry {
     secrets: Mutex<BTreeMap<credential::Role, Vec<credential::Secret>>>,
     methods: BTreeMap<SmolStr, Method>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Tells of the processor time of calls.
+    /// Sets the callback for the processor time of calls.
     pub(super) fn with_meter(self, meter: Option<Meter>) -> Self {
         Self { meter, ..self }
     }
@@ -57,14 +57,14 @@
         self.streams.get(name)
     }
 
-    /// Secrets that prove `role` at this moment.
+    /// Returns the secrets currently accepted for `role`.
     pub(super) fn secrets(&self, role: credential::Role) -> Vec<credential::Secret> {
         self.secrets.lock().get(&role).cloned().unwrap_or_default()
     }
 
-    /// Changes the secrets of a role and ends connections that rest on one that
-    /// is no longer taken; else a leaked secret would go on for as long as its
-    /// finder keeps a connection open.
+    /// Replaces the secrets of a role and closes the connections that authenticated with a
+    /// removed one. Otherwise whoever holds a leaked secret would keep access for as long as
+    /// the connection stays open.
     pub(super) fn replace_secrets(&self, role: credential::Role, secrets: Vec<credential::Secret>) {
         let open: Vec<Arc<Connection>> = self.connections.lock().values().cloned().collect();
         for connection in open {
@@ -79,20 +79,22 @@
         self.connections.lock().get(&id).cloned()
     }
 
-    /// Notes a connection unless there are too many.
+    /// Adds a connection; returns false if the listener is at its limit.
     ///
-    /// Strangers that open connections and say nothing could take all places.
-    /// One would see that no process of the fleet gets in. So the oldest that
-    /// has not proven itself makes room for the next one; a process of the fleet
-    /// needs its place unproven for milliseconds only.
+    /// Clients that open connections and never authenticate could otherwise use up the
+    /// limit and lock out the fleet. At the limit of unauthenticated connections, the
+    /// oldest of them is closed for the new one. A process of the fleet authenticates within
+    /// milliseconds.
     pub(super) fn insert(&self, id: u32, connection: Arc<Connection>) -> bool {
         let mut connections = self.connections.lock();
-        let unproven = connections
+        let unauthenticated = connections
             .iter()
             .filter(|(_, held)| held.is_unauthenticated());
-        let unproven: Vec<u32> = unproven.map(|(id, _)| *id).collect();
-        if unproven.len() >= self.max_unauthenticated() {
-            let oldest = unproven.first().and_then(|id| connections.remove(id));
+        let unauthenticated: Vec<u32> = unauthenticated.map(|(id, _)| *id).collect();
+        if unauthenticated.len() >= self.max_unauthenticated() {
+            let oldest = unauthenticated
+                .first()
+                .and_then(|id| connections.remove(id));
             if let Some(oldest) = oldest {
                 oldest.close();
             }
--- a/crates/cranberrygap-link/src/server/stream.rs
+++ b/crates/cranberrygap-link/src/server/stream.rs
@@ -1,4 +1,4 @@
-//! Runs one stream of sealed frames.
+//! Serves one stream of sealed frames.
 
 use std::sync::Arc;
 
@@ -14,32 +14,32 @@
 
 struct Writer {
     sink: SubscriptionSink,
-    authentic: Caller,
+    caller: Caller,
     counter: u64,
     sequence: u64,
 }
 
-/// Checks the opening call, then sends frames until the stream or the
-/// connection ends.
+/// Verifies the opening call, then sends frames until the stream or the connection
+/// ends.
 pub(super) async fn run(
     params: Params<'static>,
     pending: PendingSubscriptionSink,
     registry: Arc<Registry>,
     extensions: jsonrpsee::Extensions,
 ) {
-    let checked = verify_call(&params, &registry, &extensions);
-    let Some((connection, envelope, authentic)) = checked else {
+    let verified = verify_call(&params, &registry, &extensions);
+    let Some((connection, envelope, caller)) = verified else {
         pending.reject(accept::unauthenticated()).await;
         return;
     };
-    let opened = open_frames(&registry, &authentic, &envelope).await;
-    // Fails only if the connection has ended meanwhile.
+    let opened = open_frames(&registry, &caller, &envelope).await;
+    // Fails only if the connection has closed in the meantime.
     let Ok(sink) = pending.accept().await else {
         return;
     };
     let mut writer = Writer {
         sink,
-        authentic,
+        caller,
         counter: envelope.counter,
         sequence: 0,
     };
@@ -56,22 +56,22 @@
 ) -> Option<(Arc<Connection>, session::Envelope, Caller)> {
     let envelope: session::Envelope = params.one().ok()?;
     let connection = accept::find_connection(registry, extensions).ok()?;
-    let authentic = connection.verify_call(&envelope);
-    if authentic.is_none() {
+    let caller = connection.verify_call(&envelope);
+    if caller.is_none() {
         connection.close();
     }
-    Some((connection, envelope, authentic?))
+    Some((connection, envelope, caller?))
 }
 
 async fn open_frames(
     registry: &Registry,
-    authentic: &Caller,
+    caller: &Caller,
     envelope: &session::Envelope,
 ) -> Result<Frames, Fault> {
-    let wrong = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
-    let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(wrong)?;
+    let invalid = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
+    let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(invalid)?;
     let stream = registry.stream(&call.method);
-    let stream = stream.filter(|stream| stream.role == authentic.role);
+    let stream = stream.filter(|stream| stream.role == caller.role);
     let unknown = || Fault::new(message::UNKNOWN_METHOD, "no such stream for this role");
     (stream.ok_or_else(unknown)?.open)(call.params).await
 }
@@ -89,21 +89,21 @@
             () = writer.sink.closed() => return,
             () = connection.closed() => return,
         };
-        let answer = match frame {
+        let response = match frame {
             Some(frame) => message::Response::new(Ok(frame)),
             None => message::Response::end(),
         };
-        if !writer.send(&answer).await || answer.end {
+        if !writer.send(&response).await || response.end {
             return;
         }
     }
 }
 
 impl Writer {
-    async fn send(&mut self, answer: &message::Response) -> bool {
+    async fn send(&mut self, response: &message::Response) -> bool {
         let purpose = session::Purpose::Frame;
-        let body = message::to_raw_json(answer);
-        let keys = &self.authentic.keys;
+        let body = message::to_raw_json(response);
+        let keys = &self.caller.keys;
         let envelope = keys.seal(purpose, self.counter, self.sequence, body);
         self.sequence += 1;
         self.sink
--- a/crates/cranberrygap-link/src/session.rs
+++ b/crates/cranberrygap-link/src/session.rs
@@ -1,4 +1,4 @@
-//! Sealing of messages once both ends have proven themselves.
+//! Message authentication after the handshake.
 
 use std::collections::BTreeSet;
 
@@ -6,32 +6,32 @@
 use serde_json::value::RawValue;
 use smol_str::SmolStr;
 
-/// Calls that may be under way out of order on one connection. An older
-/// counter than that is refused, so the memory of used counters stays bounded.
+/// Maximum number of out-of-order counters remembered per connection, so that memory stays
+/// bounded. Counters older than these are rejected.
 const MAX_USED_COUNTERS: usize = 4_096;
 
-/// Which way and for what a message goes; a message of one kind is never taken
-/// for one of another.
+/// Direction and kind of a message. The seal covers it, so a message of one kind is never
+/// accepted as another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A call or the opening of a stream, from the connecting end.
+    /// A call or the opening of a stream, from the client.
     Call,
-    /// The answer to a call.
+    /// The response to a call, from the server.
     Response,
-    /// One frame of a stream.
+    /// One frame of a stream, from the server.
     Frame,
 }
 
-/// A message with its place and the proof that it was not altered.
+/// A message body with its counter, sequence number and seal.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Number of the call that this is, answers or streams to.
+    /// Number of the call; responses and frames carry that of their call.
     pub counter: u64,
-    /// Position within a stream, 0 elsewhere.
+    /// Position of a frame within its stream; 0 for calls and responses.
     pub sequence: u64,
-    /// The content.
+    /// The message body.
     pub body: Box<RawValue>,
-    /// Keyed hash over all of it, in hex.
+    /// Keyed hash over the purpose, counter, sequence and body, in hex.
     pub seal: SmolStr,
 }
 
@@ -42,7 +42,7 @@
     server: [u8; blake3::KEY_LEN],
 }
 
-/// Remembers which counters were used.
+/// Replay window: the counters already used on a connection.
 #[derive(Debug, Default)]
 pub struct Window {
     floor: u64,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Puts `body` into an envelope.
+    /// Seals `body` in an envelope.
     #[must_use]
     pub fn seal(
         &self,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether an envelope was sealed by the other end and is unaltered.
+    /// Whether the seal of `envelope` is valid for `purpose`.
     #[must_use]
     pub fn is_authentic(&self, purpose: Purpose, envelope: &Envelope) -> bool {
         let expected = self.hash(purpose, envelope.counter, envelope.sequence, &envelope.body);
@@ -106,7 +106,7 @@
 }
 
 impl Window {
-    /// Takes a counter unless it was used before or is too old.
+    /// Records a counter; returns false if it was used before or is too old.
     pub fn accept(&mut self, counter: u64) -> bool {
         if counter < self.floor || !self.used.insert(counter) {
             return false;
--- a/crates/cranberrygap-link/tests/link.rs
+++ b/crates/cranberrygap-link/tests/link.rs
@@ -1,4 +1,4 @@
-//! Calls and streams between two ends that hold the same secret.
+//! Calls and streams between a client and a server.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use cranberrygap_link::error::Error;
@@ -83,7 +83,7 @@
     assert_eq!(frames.next().await, None);
 }
 
-// The fleet's secret must not open what is meant for operators.
+// A client with the fleet's secret must not be able to call operators' methods.
 #[tokio::test]
 async fn method_of_another_role_is_not_found() {
     let listener = listener().await;
@@ -94,16 +94,16 @@
     assert!(matches!(error, Err(Error::Refused { .. })));
 }
 
-// The other end takes the call and never answers. The caller must not take it
-// for a call that did not run.
+// The server receives the call and never responds. The error must not say that the
+// call was not sent.
 #[tokio::test]
 async fn call_without_answer_is_of_unknown_effect() {
     let listener = listener().await;
     let client = connect(&listener, "fleet").await.unwrap();
 
-    let short = duration::Span::from_millis(50);
+    let short_deadline = duration::Span::from_millis(50);
     let error = client
-        .call::<_, ()>("silent", &(), short)
+        .call::<_, ()>("silent", &(), short_deadline)
         .await
         .unwrap_err();
 
@@ -111,18 +111,18 @@
     assert!(!error.not_sent());
 }
 
-// The listener's process ends while a call runs.
+// The server stops while a call runs.
 #[tokio::test]
 async fn call_on_a_connection_that_ends_is_of_unknown_effect() {
     let listener = listener().await;
     let client = connect(&listener, "fleet").await.unwrap();
 
-    let calling = client.call::<_, ()>("silent", &(), DEADLINE);
-    let ending = async {
+    let call = client.call::<_, ()>("silent", &(), DEADLINE);
+    let stop = async {
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         drop(listener);
     };
-    let (error, ()) = tokio::join!(calling, ending);
+    let (error, ()) = tokio::join!(call, stop);
 
     assert!(matches!(error, Err(Error::Closed | Error::TimedOut)));
 }
@@ -161,9 +161,9 @@
     assert_eq!(error, Error::NotAuthentic);
 }
 
-// Operators change the fleet's secret while all processes run: listeners first
-// take both, clients change over, and then the old secret goes. Connections of
-// clients that changed over must not be cut, those that did not must be.
+// Operators rotate the fleet's secret while all processes run: listeners first accept
+// both, clients change to the new one, then the old one is removed. Only connections
+// that authenticated with the old secret must be closed.
 #[tokio::test]
 async fn secret_is_changed_while_connected() {
     let listener = listener().await;
@@ -172,13 +172,13 @@
 
     listener.replace_secrets(role, vec![secret("fleet"), secret("next")]);
     let new = connect(&listener, "next").await.unwrap();
-    let still: u64 = old.call("double", &1_u64, DEADLINE).await.unwrap();
+    let old_result: u64 = old.call("double", &1_u64, DEADLINE).await.unwrap();
     listener.replace_secrets(role, vec![secret("next")]);
     old.closed().await;
-    let after: u64 = new.call("double", &2_u64, DEADLINE).await.unwrap();
+    let new_result: u64 = new.call("double", &2_u64, DEADLINE).await.unwrap();
     let refused = connect(&listener, "fleet").await;
 
-    assert_eq!((still, after), (2, 4));
+    assert_eq!((old_result, new_result), (2, 4));
     assert!(matches!(refused, Err(Error::NotAuthentic)));
 }
 
@@ -195,15 +195,15 @@
     assert!(!first.is_closed());
 }
 
-// Work in calls that no meter counts hides what a process has no time for.
+// Calls that the meter misses would hide what uses up a process's time.
 #[tokio::test]
 async fn meter_is_told_of_each_call() {
     let fleet = credential::Role::Fleet;
-    let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, mut receiver) = tokio::sync::mpsc::unbounded_channel();
     let listener = server::Builder::new()
         .secrets(fleet, vec![secret("fleet")])
         .method("double", fleet, |number: u64| async move { Ok(number * 2) })
-        .meter(move |method, spent| tell.send((method.to_owned(), spent)).unwrap())
+        .meter(move |method, spent| sender.send((method.to_owned(), spent)).unwrap())
         .start(loopback())
         .await
         .unwrap();
@@ -214,7 +214,7 @@
         .await
         .unwrap();
 
-    let (method, spent) = told.recv().await.unwrap();
+    let (method, spent) = receiver.recv().await.unwrap();
     assert_eq!(method, "double");
     assert!(spent > std::time::Duration::ZERO);
 }
--- a/crates/cranberrygap-link/tests/stranger.rs
+++ b/crates/cranberrygap-link/tests/stranger.rs
@@ -1,4 +1,4 @@
-//! What somebody without the secret, or between the two ends, can do: nothing.
+//! Attacks by clients without the secret and by intermediaries between the two ends.
 #![allow(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     calls: Arc<AtomicU64>,
 }
 
-struct Raw {
+struct RawClient {
     rpc: ws_client::WsClient,
     keys: session::Keys,
 }
@@ -28,12 +28,12 @@
 async fn fixture() -> Fixture {
     let role = credential::Role::Fleet;
     let calls = Arc::new(AtomicU64::new(0));
-    let counted = Arc::clone(&calls);
+    let call_count = Arc::clone(&calls);
     let address: address::Socket = "127.0.0.1:0".parse().unwrap();
     let listener = server::Builder::new()
         .secrets(role, vec![secret()])
         .method("touch", role, move |(): ()| {
-            let count = counted.fetch_add(1, Ordering::SeqCst);
+            let count = call_count.fetch_add(1, Ordering::SeqCst);
             async move { Ok(count) }
         })
         .start(address)
@@ -42,12 +42,12 @@
     Fixture { listener, calls }
 }
 
-async fn rpc(fixture: &Fixture) -> ws_client::WsClient {
+async fn connect(fixture: &Fixture) -> ws_client::WsClient {
     let url = format!("ws://{}", fixture.listener.address());
     ws_client::WsClientBuilder::new().build(url).await.unwrap()
 }
 
-async fn hello(rpc: &ws_client::WsClient, client: handshake::Nonce) -> handshake::Transcript {
+async fn send_hello(rpc: &ws_client::WsClient, client: handshake::Nonce) -> handshake::Transcript {
     let role = credential::Role::Fleet;
     let nonce = client.to_hex();
     let hello = handshake::Hello { role, nonce };
@@ -61,17 +61,17 @@
     }
 }
 
-async fn proven(fixture: &Fixture) -> Raw {
-    let rpc = rpc(fixture).await;
-    let transcript = hello(&rpc, handshake::Nonce::generate().unwrap()).await;
+async fn connect_authenticated(fixture: &Fixture) -> RawClient {
+    let rpc = connect(fixture).await;
+    let transcript = send_hello(&rpc, handshake::Nonce::generate().unwrap()).await;
     let proof = transcript.client_proof(&secret());
     let answer: handshake::Proof = rpc.request("link_prove", rpc_params![proof]).await.unwrap();
     assert!(transcript.is_server_proof(&secret(), &answer));
     let keys = transcript.session_keys(&secret());
-    Raw { rpc, keys }
+    RawClient { rpc, keys }
 }
 
-fn touch() -> Box<RawValue> {
+fn touch_call() -> Box<RawValue> {
     RawValue::from_string(r#"{"method":"touch","params":null}"#.to_owned()).unwrap()
 }
 
@@ -83,75 +83,76 @@
 #[tokio::test]
 async fn call_before_the_handshake_runs_nothing() {
     let fixture = fixture().await;
-    let known = proven(&fixture).await;
-    let envelope = known.keys.seal(session::Purpose::Call, 0, 0, touch());
-    let stranger = rpc(&fixture).await;
+    let authenticated = connect_authenticated(&fixture).await;
+    let envelope = authenticated
+        .keys
+        .seal(session::Purpose::Call, 0, 0, touch_call());
+    let unauthenticated = connect(&fixture).await;
 
-    let taken = send(&stranger, &envelope).await;
+    let accepted = send(&unauthenticated, &envelope).await;
 
-    assert!(!taken);
+    assert!(!accepted);
     assert_eq!(fixture.calls.load(Ordering::SeqCst), 0);
 }
 
-// Somebody recorded a handshake on the wire and plays its proof again, with
-// the same nonce of the connecting end, on a connection of its own.
+// An attacker records a handshake and replays its proof with the same client nonce on
+// another connection.
 #[tokio::test]
 async fn replayed_proof_is_refused() {
     let fixture = fixture().await;
-    let first = rpc(&fixture).await;
+    let first = connect(&fixture).await;
     let nonce = handshake::Nonce::generate().unwrap();
-    let recorded = hello(&first, nonce).await.client_proof(&secret());
-    let taken = first.request::<handshake::Proof, _>("link_prove", rpc_params![&recorded]);
-    assert!(taken.await.is_ok(), "the recorded proof was good");
+    let recorded = send_hello(&first, nonce).await.client_proof(&secret());
+    let accepted = first.request::<handshake::Proof, _>("link_prove", rpc_params![&recorded]);
+    assert!(accepted.await.is_ok(), "the recorded proof was good");
 
-    let second = rpc(&fixture).await;
-    hello(&second, nonce).await;
-    let again = second.request::<handshake::Proof, _>("link_prove", rpc_params![&recorded]);
+    let second = connect(&fixture).await;
+    send_hello(&second, nonce).await;
+    let replayed = second.request::<handshake::Proof, _>("link_prove", rpc_params![&recorded]);
 
-    again.await.unwrap_err();
+    replayed.await.unwrap_err();
 }
 
-// A challenge that could be answered again and again would let a stranger try
-// one guess after the other on one connection.
+// A challenge that could be answered repeatedly would let an attacker try one guess
+// after another on one connection.
 #[tokio::test]
 async fn challenge_can_be_answered_once_only() {
     let fixture = fixture().await;
-    let rpc = rpc(&fixture).await;
-    let transcript = hello(&rpc, handshake::Nonce::generate().unwrap()).await;
-    let other = credential::Secret::new(b"guess-0123456789abcdef").unwrap();
-    let guess = transcript.client_proof(&other);
+    let rpc = connect(&fixture).await;
+    let transcript = send_hello(&rpc, handshake::Nonce::generate().unwrap()).await;
+    let wrong_secret = credential::Secret::new(b"guess-0123456789abcdef").unwrap();
+    let guess = transcript.client_proof(&wrong_secret);
     let first = rpc.request::<handshake::Proof, _>("link_prove", rpc_params![guess]);
     first.await.unwrap_err();
 
-    let right = transcript.client_proof(&secret());
-    let second = rpc.request::<handshake::Proof, _>("link_prove", rpc_params![right]);
+    let correct = transcript.client_proof(&secret());
+    let second = rpc.request::<handshake::Proof, _>("link_prove", rpc_params![correct]);
 
     second.await.unwrap_err();
 }
 
-// Something between the two ends changes a call on its way. It must not run,
-// and the connection must not go on.
+// An intermediary alters a call. The call must not run, and the connection must be
+// closed.
 #[tokio::test]
 async fn altered_call_runs_nothing_and_ends_the_connection() {
     let fixture = fixture().await;
-    let raw = proven(&fixture).await;
-    let mut envelope = raw.keys.seal(session::Purpose::Call, 0, 0, touch());
+    let raw = connect_authenticated(&fixture).await;
+    let mut envelope = raw.keys.seal(session::Purpose::Call, 0, 0, touch_call());
     envelope.counter = 1;
 
-    let taken = send(&raw.rpc, &envelope).await;
+    let accepted = send(&raw.rpc, &envelope).await;
 
-    assert!(!taken);
+    assert!(!accepted);
     assert_eq!(fixture.calls.load(Ordering::SeqCst), 0);
     raw.rpc.on_disconnect().await;
 }
 
-// Something between the two ends sends a good call a second time. A change
-// would be made twice.
+// An intermediary replays a valid call. If it ran again, a change would be made twice.
 #[tokio::test]
 async fn repeated_call_runs_once() {
     let fixture = fixture().await;
-    let raw = proven(&fixture).await;
-    let envelope = raw.keys.seal(session::Purpose::Call, 0, 0, touch());
+    let raw = connect_authenticated(&fixture).await;
+    let envelope = raw.keys.seal(session::Purpose::Call, 0, 0, touch_call());
 
     let first = send(&raw.rpc, &envelope).await;
     let second = send(&raw.rpc, &envelope).await;
@@ -161,16 +162,18 @@
     assert_eq!(fixture.calls.load(Ordering::SeqCst), 1);
 }
 
-// An answer sent back as if it were a call must not be taken for one.
+// A response reflected to the server must not be accepted as a call.
 #[tokio::test]
 async fn seal_of_an_answer_does_not_open_a_call() {
     let fixture = fixture().await;
-    let raw = proven(&fixture).await;
-    let envelope = raw.keys.seal(session::Purpose::Response, 0, 0, touch());
+    let raw = connect_authenticated(&fixture).await;
+    let envelope = raw
+        .keys
+        .seal(session::Purpose::Response, 0, 0, touch_call());
 
-    let taken = send(&raw.rpc, &envelope).await;
+    let accepted = send(&raw.rpc, &envelope).await;
 
-    assert!(!taken);
+    assert!(!accepted);
     assert_eq!(fixture.calls.load(Ordering::SeqCst), 0);
 }
 
@@ -178,24 +181,24 @@
 fn counters_may_come_out_of_order_but_once_each() {
     let mut window = session::Window::default();
 
-    let taken: Vec<bool> = [2, 0, 2, 1, 0, 3]
+    let accepted: Vec<bool> = [2, 0, 2, 1, 0, 3]
         .map(|counter| window.accept(counter))
         .into();
 
-    assert_eq!(taken, [true, true, false, true, false, true]);
+    assert_eq!(accepted, [true, true, false, true, false, true]);
 }
 
-// Strangers open connections and say nothing. The processes of the fleet must
-// find a place all the same.
+// Clients that open connections and never authenticate must not keep the processes of
+// the fleet from connecting.
 #[tokio::test]
 async fn silent_strangers_do_not_keep_the_fleet_out() {
     let role = credential::Role::Fleet;
     let builder = server::Builder::new().secrets(role, vec![secret()]);
     let address: address::Socket = "127.0.0.1:0".parse().unwrap();
     let listener = builder.max_connections(8).start(address).await.unwrap();
-    let mut strangers = Vec::new();
+    let mut idle_sockets = Vec::new();
     for _ in 0..30 {
-        strangers.push(
+        idle_sockets.push(
             tokio::net::TcpStream::connect(listener.address().0)
                 .await
                 .unwrap(),
