--- a/crates/cranberrygap-link/src/client.rs
+++ b/crates/cranberrygap-link/src/client.rs
@@ -1,4 +1,4 @@
-//! The connecting end of a link.
+//! Client side of a link: connects, calls methods and subscribes to streams.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -19,36 +19,36 @@
 use crate::message;
 use crate::session;
 
-/// Time for a connection and its handshake together. A few round trips, also between
-/// regions; a process that stands still would hold up whoever looks for the leader.
-const CONNECT_DEADLINE: Duration = Duration::from_millis(700);
+/// Timeout for connecting and the handshake together. It allows for a few round trips, also
+/// between regions. With a longer one, a hung process would delay callers that look for the
+/// leader.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time for the first frame of a stream. An end that has not caught up by then with what
-/// the subscriber has seen, or that stands still, would hold up a view which must not be
-/// two seconds old.
-const OPEN_DEADLINE: Duration = Duration::from_millis(700);
+/// Timeout for opening a stream, and again for its first frame. A server that hangs, or that
+/// is behind the revision the subscriber has seen, would delay a view that must stay less
+/// than two seconds old.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Upper bound that the library puts on any call; the caller's own deadline is
-/// shorter.
-const LONGEST_CALL: Duration = Duration::from_hours(1);
+/// Upper bound that the library puts on any call. The caller's own deadline is shorter.
+const MAX_CALL_DURATION: Duration = Duration::from_hours(1);
 
-/// Calls under way on one connection.
-const LARGEST_CONCURRENCY: usize = 4_096;
+/// Maximum concurrent calls on one connection.
+const MAX_CONCURRENT_CALLS: usize = 4_096;
 
-/// Tries to open a connection; the library counts them as redirections.
-const ATTEMPTS: usize = 1;
+/// Attempts to open a connection; the library counts them as redirections.
+const MAX_CONNECT_ATTEMPTS: usize = 1;
 
-/// Frames that wait for a slow reader before its stream ends.
-const FRAME_BUFFER: usize = 1_024;
+/// Frames buffered for a slow reader before its stream ends.
+const FRAME_BUFFER_CAPACITY: usize = 1_024;
 
-/// A connection on which both ends have proven themselves.
+/// A connection on which both ends are authenticated.
 pub struct Client {
     rpc: ws_client::WsClient,
     keys: session::Keys,
     counter: AtomicU64,
 }
 
-/// A stream of frames.
+/// A subscription to a stream of frames of type `F`.
 pub struct Subscription<F> {
     frames: rpc::Subscription<session::Envelope>,
     keys: session::Keys,
@@ -59,42 +59,42 @@
 }
 
 impl Client {
-    /// Connects to `address` and proves to be of `role`.
+    /// Connects to `address` and authenticates as `role`.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] or [`Error::NotAuthentic`]; nothing was asked.
+    /// [`Error::Unreachable`] or [`Error::NotAuthentic`]; no call was sent.
     pub async fn connect(
         address: address::Socket,
         role: credential::Role,
         secret: &credential::Secret,
     ) -> Result<Self, Error> {
-        let connecting = Self::connect_unbounded(address, role, secret);
-        let connected = tokio::time::timeout(CONNECT_DEADLINE, connecting).await;
-        connected.unwrap_or_else(|_elapsed| Err(unreachable(&"no connection in time")))
+        let attempt = Self::connect_without_timeout(address, role, secret);
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, attempt).await;
+        connected.unwrap_or_else(|_elapsed| Err(unreachable(&"connecting timed out")))
     }
 
-    async fn connect_unbounded(
+    async fn connect_without_timeout(
         address: address::Socket,
         role: credential::Role,
         secret: &credential::Secret,
     ) -> Result<Self, Error> {
         let ping = rpc::async_client::PingConfig::new()
             .ping_interval(message::PING_INTERVAL)
-            .inactive_limit(message::SILENCE_LIMIT);
+            .inactive_limit(message::SILENCE_TIMEOUT);
         let rpc = ws_client::WsClientBuilder::new()
-            .connection_timeout(CONNECT_DEADLINE)
-            .request_timeout(LONGEST_CALL)
-            .max_request_size(message::LARGEST_MESSAGE)
-            .max_response_size(message::LARGEST_MESSAGE)
-            .max_concurrent_requests(LARGEST_CONCURRENCY)
-            .max_buffer_capacity_per_subscription(FRAME_BUFFER)
-            .max_redirections(ATTEMPTS)
+            .connection_timeout(CONNECT_TIMEOUT)
+            .request_timeout(MAX_CALL_DURATION)
+            .max_request_size(message::MAX_MESSAGE_BYTES)
+            .max_response_size(message::MAX_MESSAGE_BYTES)
+            .max_concurrent_requests(MAX_CONCURRENT_CALLS)
+            .max_buffer_capacity_per_subscription(FRAME_BUFFER_CAPACITY)
+            .max_redirections(MAX_CONNECT_ATTEMPTS)
             .enable_ws_ping(ping)
             .build(format!("ws://{address}"))
             .await
             .map_err(|cause| unreachable(&cause))?;
-        let keys = prove(&rpc, role, secret).await?;
+        let keys = authenticate(&rpc, role, secret).await?;
         Ok(Self {
             rpc,
             keys,
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Calls `method` and waits for the answer until `deadline` has passed.
+    /// Calls `method` and waits for the response for at most `deadline`.
     ///
     /// # Errors
     ///
@@ -113,25 +113,29 @@
         params: &P,
         deadline: duration::Span,
     ) -> Result<R, Error> {
-        let envelope = self.envelope(method, params)?;
+        let envelope = self.seal_call(method, params)?;
         let counter = envelope.counter;
-        let calling = self.rpc.request(message::CALL, rpc_params![envelope]);
-        let answer = tokio::time::timeout(deadline.to_std(), calling).await;
-        let answer: session::Envelope = match answer {
-            Ok(Ok(answer)) => answer,
+        let request = self.rpc.request(message::CALL, rpc_params![envelope]);
+        let response = tokio::time::timeout(deadline.to_std(), request).await;
+        let response: session::Envelope = match response {
+            Ok(Ok(response)) => response,
             Ok(Err(rpc::Error::RequestTimeout)) | Err(_) => return Err(Error::TimedOut),
             Ok(Err(_cause)) => return Err(Error::Closed),
         };
-        // Something between the ends altered the answer or gave that of another
-        // call. What the call did is then as unknown as after a lost answer.
-        let fits = answer.counter == counter && answer.sequence == 0;
-        if !fits || !self.keys.is_authentic(session::Purpose::Answer, &answer) {
+        // An intermediary altered the response or returned that of another call. As
+        // after a lost response, it is unknown whether the call ran.
+        let is_expected = response.counter == counter && response.sequence == 0;
+        if !is_expected
+            || !self
+                .keys
+                .is_authentic(session::Purpose::Response, &response)
+        {
             return Err(Error::Closed);
         }
-        decode(&answer)?.ok_or_else(|| malformed(&"an answer without content"))
+        decode(&response)?.ok_or_else(|| malformed(&"the response has no content"))
     }
 
-    /// Opens a stream of frames.
+    /// Opens the stream `method` and waits until the server has accepted it.
     ///
     /// # Errors
     ///
@@ -141,12 +145,12 @@
         method: &'static str,
         params: &P,
     ) -> Result<Subscription<F>, Error> {
-        let envelope = self.envelope(method, params)?;
+        let envelope = self.seal_call(method, params)?;
         let counter = envelope.counter;
-        let opening = self
+        let request = self
             .rpc
             .subscribe(message::OPEN, rpc_params![envelope], message::CLOSE);
-        let frames = match tokio::time::timeout(OPEN_DEADLINE, opening).await {
+        let frames = match tokio::time::timeout(OPEN_TIMEOUT, request).await {
             Ok(Ok(frames)) => frames,
             Ok(Err(_cause)) => return Err(Error::Closed),
             Err(_elapsed) => return Err(Error::TimedOut),
@@ -159,8 +163,8 @@
             finished: false,
             frame: PhantomData,
         };
-        // The first frame is empty and tells that the stream was granted.
-        let opened = tokio::time::timeout(OPEN_DEADLINE, subscription.receive());
+        // The first frame is empty; it confirms that the server opened the stream.
+        let opened = tokio::time::timeout(OPEN_TIMEOUT, subscription.receive());
         match opened.await {
             Ok(Some(Ok(envelope))) => decode::<()>(&envelope).map(drop)?,
             Ok(Some(Err(error))) => return Err(error),
@@ -181,7 +185,7 @@
         self.rpc.on_disconnect().await;
     }
 
-    fn envelope<P: Serialize>(
+    fn seal_call<P: Serialize>(
         &self,
         method: &'static str,
         params: &P,
@@ -195,9 +199,9 @@
             method: method.into(),
             params,
         };
-        let body = message::raw(&call);
-        let size = body.get().len() + message::ENVELOPE_ROOM;
-        let limit = message::LARGEST_MESSAGE as usize;
+        let body = message::to_raw_json(&call);
+        let size = body.get().len() + message::ENVELOPE_OVERHEAD_BYTES;
+        let limit = message::MAX_MESSAGE_BYTES as usize;
         if size > limit {
             return Err(Error::TooLarge { size, limit });
         }
@@ -207,19 +211,19 @@
 }
 
 impl<F: DeserializeOwned> Subscription<F> {
-    /// The next frame; `None` after the stream's orderly end.
+    /// Returns the next frame, or `None` after the end of the stream or after an error.
     pub async fn next(&mut self) -> Option<Result<F, Error>> {
         if self.finished {
             return None;
         }
         match self.receive().await {
-            Some(Ok(envelope)) => self.content(&envelope),
+            Some(Ok(envelope)) => self.decode_frame(&envelope),
             Some(Err(error)) => Some(self.fail(error)),
             None => Some(self.fail(Error::Closed)),
         }
     }
 
-    fn content(&mut self, envelope: &session::Envelope) -> Option<Result<F, Error>> {
+    fn decode_frame(&mut self, envelope: &session::Envelope) -> Option<Result<F, Error>> {
         match decode(envelope) {
             Ok(Some(frame)) => Some(Ok(frame)),
             Ok(None) => {
@@ -237,15 +241,17 @@
 }
 
 impl<F> Subscription<F> {
-    /// Takes the next envelope; one that is altered, left out or repeated on the
-    /// way ends the stream, since a view with a missing change would be wrong.
+    /// Receives the next envelope and verifies its seal and sequence number.
+    ///
+    /// An altered, missing or repeated envelope is an error that ends the stream, since a
+    /// view with a missing change would be wrong.
     async fn receive(&mut self) -> Option<Result<session::Envelope, Error>> {
         let envelope = match self.frames.next().await? {
             Ok(envelope) => envelope,
             Err(cause) => return Some(Err(malformed(&cause))),
         };
-        let fits = envelope.counter == self.counter && envelope.sequence == self.sequence;
-        if !fits || !self.keys.is_authentic(session::Purpose::Frame, &envelope) {
+        let is_expected = envelope.counter == self.counter && envelope.sequence == self.sequence;
+        if !is_expected || !self.keys.is_authentic(session::Purpose::Frame, &envelope) {
             return Some(Err(Error::Closed));
         }
         self.sequence += 1;
@@ -269,12 +275,13 @@
     }
 }
 
-async fn prove(
+/// Runs the handshake and returns the session keys.
+async fn authenticate(
     rpc: &ws_client::WsClient,
     role: credential::Role,
     secret: &credential::Secret,
 ) -> Result<session::Keys, Error> {
-    let client = handshake::Nonce::draw().map_err(|cause| unreachable(&cause))?;
+    let client = handshake::Nonce::generate().map_err(|cause| unreachable(&cause))?;
     let hello = handshake::Hello {
         role,
         nonce: client.to_hex(),
@@ -282,7 +289,7 @@
     let challenge: handshake::Challenge = rpc
         .request(message::HELLO, rpc_params![hello])
         .await
-        .map_err(refused_by_stranger)?;
+        .map_err(handshake_error)?;
     let server = handshake::Nonce::from_hex(&challenge.nonce).ok_or(Error::NotAuthentic)?;
     let transcript = handshake::Transcript {
         role,
@@ -292,14 +299,16 @@
     let proof: handshake::Proof = rpc
         .request(message::PROVE, rpc_params![transcript.client_proof(secret)])
         .await
-        .map_err(refused_by_stranger)?;
-    if !transcript.is_server(secret, &proof) {
+        .map_err(handshake_error)?;
+    if !transcript.is_server_proof(secret, &proof) {
         return Err(Error::NotAuthentic);
     }
-    Ok(transcript.session(secret))
+    Ok(transcript.session_keys(secret))
 }
 
-fn refused_by_stranger(cause: rpc::Error) -> Error {
+/// Maps a JSON-RPC error during the handshake: an error response means that the server
+/// rejected the client.
+fn handshake_error(cause: rpc::Error) -> Error {
     match cause {
         rpc::Error::Call(_) | rpc::Error::ParseError(_) => Error::NotAuthentic,
         other => unreachable(&other),
@@ -307,19 +316,19 @@
 }
 
 fn decode<R: DeserializeOwned>(envelope: &session::Envelope) -> Result<Option<R>, Error> {
-    let answer: message::Answer =
+    let response: message::Response =
         serde_json::from_str(envelope.body.get()).map_err(|cause| malformed(&cause))?;
-    if let Some(fault) = answer.fault {
+    if let Some(fault) = response.fault {
         return Err(Error::Refused {
             code: fault.code,
             message: fault.message,
             data: fault.data,
         });
     }
-    if answer.end {
+    if response.end {
         return Ok(None);
     }
-    let content = answer.ok.as_ref().map_or("null", |ok| ok.get());
+    let content = response.ok.as_ref().map_or("null", |ok| ok.get());
     serde_json::from_str(content)
         .map(Some)
         .map_err(|cause| malformed(&cause))
--- a/crates/cranberrygap-link/src/server/connection.rs
+++ b/crates/cranberrygap-link/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One accepted connection and how far it has proven itself.
+//! One accepted connection and its authentication state.
 
 use jsonrpsee::server;
 use parking_lot::Mutex;
@@ -8,19 +8,19 @@
 use crate::handshake;
 use crate::session;
 
-/// State of one connection.
+/// One accepted connection.
 pub(super) struct Connection {
     phase: Mutex<Phase>,
     stop: server::ServerHandle,
-    proven: watch::Sender<bool>,
-    ended: watch::Sender<bool>,
+    authenticated: watch::Sender<bool>,
+    closed: watch::Sender<bool>,
 }
 
 enum Phase {
-    Fresh,
+    New,
     Challenged(handshake::Transcript),
-    Proven(Session),
-    Ended,
+    Authenticated(Session),
+    Closed,
 }
 
 struct Session {
@@ -30,8 +30,8 @@
     window: session::Window,
 }
 
-/// A call that was sealed by whoever proved the role.
-pub(super) struct Authentic {
+/// The authenticated sender of a verified call.
+pub(super) struct Caller {
     pub(super) role: credential::Role,
     pub(super) keys: session::Keys,
 }
@@ -39,19 +39,19 @@
 impl Connection {
     pub(super) fn new(stop: server::ServerHandle) -> Self {
         Self {
-            phase: Mutex::new(Phase::Fresh),
+            phase: Mutex::new(Phase::New),
             stop,
-            proven: watch::Sender::new(false),
-            ended: watch::Sender::new(false),
+            authenticated: watch::Sender::new(false),
+            closed: watch::Sender::new(false),
         }
     }
 
-    /// Answers a hello with a challenge, once for a connection.
+    /// Answers a hello with a challenge, once per connection.
     pub(super) fn challenge(&self, hello: &handshake::Hello) -> Option<handshake::Challenge> {
         let client = handshake::Nonce::from_hex(&hello.nonce)?;
-        let server = handshake::Nonce::draw().ok()?;
+        let server = handshake::Nonce::generate().ok()?;
         let mut phase = self.phase.lock();
-        if !matches!(*phase, Phase::Fresh) {
+        if !matches!(*phase, Phase::New) {
             return None;
         }
         *phase = Phase::Challenged(handshake::Transcript {
@@ -63,43 +63,43 @@
         Some(handshake::Challenge { nonce })
     }
 
-    /// The role that a challenged connection claims.
-    pub(super) fn claimed(&self) -> Option<credential::Role> {
+    /// Returns the role that the client claims, once it is challenged.
+    pub(super) fn claimed_role(&self) -> Option<credential::Role> {
         match &*self.phase.lock() {
             Phase::Challenged(transcript) => Some(transcript.role),
             _ => None,
         }
     }
 
-    /// Checks the other end's proof and gives this end's. A challenge serves
-    /// one try only, so that a connection cannot be used for guessing.
-    pub(super) fn prove(
+    /// Verifies the client's proof and returns the server's. A challenge allows one attempt
+    /// only, so that secrets cannot be guessed repeatedly on one connection.
+    pub(super) fn verify_proof(
         &self,
         proof: &handshake::Proof,
         secrets: Vec<credential::Secret>,
     ) -> Option<handshake::Proof> {
         let mut phase = self.phase.lock();
-        let Phase::Challenged(transcript) = std::mem::replace(&mut *phase, Phase::Ended) else {
+        let Phase::Challenged(transcript) = std::mem::replace(&mut *phase, Phase::Closed) else {
             return None;
         };
-        let fits = |secret: &credential::Secret| transcript.is_client(secret, proof);
-        let secret = secrets.into_iter().find(fits)?;
-        let answer = transcript.server_proof(&secret);
-        *phase = Phase::Proven(Session {
+        let is_proven = |secret: &credential::Secret| transcript.is_client_proof(secret, proof);
+        let secret = secrets.into_iter().find(is_proven)?;
+        let server_proof = transcript.server_proof(&secret);
+        *phase = Phase::Authenticated(Session {
             role: transcript.role,
-            keys: transcript.session(&secret),
+            keys: transcript.session_keys(&secret),
             secret,
             window: session::Window::default(),
         });
         drop(phase);
-        self.proven.send_replace(true);
-        Some(answer)
+        self.authenticated.send_replace(true);
+        Some(server_proof)
     }
 
-    /// Checks a sealed call: by this session, unaltered and not seen before.
-    pub(super) fn check(&self, envelope: &session::Envelope) -> Option<Authentic> {
+    /// Verifies a sealed call: sent in this session, unaltered and not a replay.
+    pub(super) fn verify_call(&self, envelope: &session::Envelope) -> Option<Caller> {
         let mut phase = self.phase.lock();
-        let Phase::Proven(session) = &mut *phase else {
+        let Phase::Authenticated(session) = &mut *phase else {
             return None;
         };
         if !session.keys.is_authentic(session::Purpose::Call, envelope) {
@@ -108,48 +108,51 @@
         if !session.window.accept(envelope.counter) {
             return None;
         }
-        Some(Authentic {
+        Some(Caller {
             role: session.role,
             keys: session.keys.clone(),
         })
     }
 
-    pub(super) fn rests_on_other(
+    /// Whether the client authenticated as `role` with a secret that is not in `secrets`.
+    pub(super) fn uses_revoked_secret(
         &self,
         role: credential::Role,
         secrets: &[credential::Secret],
     ) -> bool {
         match &*self.phase.lock() {
-            Phase::Proven(session) => session.role == role && !secrets.contains(&session.secret),
+            Phase::Authenticated(session) => {
+                session.role == role && !secrets.contains(&session.secret)
+            }
             _ => false,
         }
     }
 
-    /// Whether the other end has not proven itself yet.
-    pub(super) fn is_unproven(&self) -> bool {
-        matches!(*self.phase.lock(), Phase::Fresh | Phase::Challenged(_))
+    /// Whether the client has not authenticated yet.
+    pub(super) fn is_unauthenticated(&self) -> bool {
+        matches!(*self.phase.lock(), Phase::New | Phase::Challenged(_))
     }
 
-    /// Ends the connection; nothing is taken from it any more.
-    pub(super) fn end(&self) {
-        *self.phase.lock() = Phase::Ended;
-        self.ended.send_replace(true);
-        // Fails only if it was stopped before.
+    /// Closes the connection; no further call on it is accepted.
+    pub(super) fn close(&self) {
+        *self.phase.lock() = Phase::Closed;
+        self.closed.send_replace(true);
+        // Fails only if the connection was stopped before.
         let _ = self.stop.stop();
     }
 
-    /// Waits until nothing more may be sent or taken. The library itself waits
-    /// for calls under way, which may last; whoever runs one watches this.
-    pub(super) async fn ended(&self) {
-        let mut ended = self.ended.subscribe();
-        // Fails only if the sender is gone, which this connection holds.
-        drop(ended.wait_for(|ended| *ended).await);
+    /// Waits until the connection is closed. On shutdown the library waits for running calls,
+    /// which may take long, so every running call or stream also waits for this.
+    pub(super) async fn closed(&self) {
+        let mut closed = self.closed.subscribe();
+        // Fails only if the sender is dropped, and `self` holds it.
+        drop(closed.wait_for(|closed| *closed).await);
     }
 
-    /// Waits until the other end has proven itself.
-    pub(super) async fn proven(&self) {
-        let mut proven = self.proven.subscribe();
-        // Fails only if the sender is gone, which this connection holds.
-        drop(proven.wait_for(|proven| *proven).await);
+    /// Waits until the client has authenticated.
+    pub(super) async fn authenticated(&self) {
+        let mut authenticated = self.authenticated.subscribe();
+        // Fails only if the sender is dropped, and `self` holds it.
+        drop(authenticated.wait_for(|authenticated| *authenticated).await);
     }
 }
--- a/crates/cranberrygap-link/src/server/stream.rs
+++ b/crates/cranberrygap-link/src/server/stream.rs
@@ -1,4 +1,4 @@
-//! Runs one stream of sealed frames.
+//! Serves one stream of sealed frames.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use jsonrpsee::core::server::{PendingSubscriptionSink, SubscriptionSink};
 use jsonrpsee::types::Params;
 
-use super::connection::{Authentic, Connection};
+use super::connection::{Caller, Connection};
 use super::registry::Registry;
 use super::{Fault, Frames, accept};
 use crate::message;
@@ -14,71 +14,71 @@
 
 struct Writer {
     sink: SubscriptionSink,
-    authentic: Authentic,
+    caller: Caller,
     counter: u64,
     sequence: u64,
 }
 
-/// Checks the opening call, then sends frames until the stream or the
-/// connection ends.
+/// Verifies the opening call, then sends frames until the stream or the connection
+/// ends.
 pub(super) async fn run(
     params: Params<'static>,
     pending: PendingSubscriptionSink,
     registry: Arc<Registry>,
     extensions: jsonrpsee::Extensions,
 ) {
-    let checked = check(&params, &registry, &extensions);
-    let Some((connection, envelope, authentic)) = checked else {
-        pending.reject(accept::stranger()).await;
+    let verified = verify_call(&params, &registry, &extensions);
+    let Some((connection, envelope, caller)) = verified else {
+        pending.reject(accept::unauthenticated()).await;
         return;
     };
-    let opened = open(&registry, &authentic, &envelope).await;
-    // Fails only if the connection has ended meanwhile.
+    let opened = open_frames(&registry, &caller, &envelope).await;
+    // Fails only if the connection has closed in the meantime.
     let Ok(sink) = pending.accept().await else {
         return;
     };
     let mut writer = Writer {
         sink,
-        authentic,
+        caller,
         counter: envelope.counter,
         sequence: 0,
     };
     match opened {
         Ok(frames) => forward(&mut writer, &connection, frames).await,
-        Err(fault) => drop(writer.send(&message::Answer::new(Err(fault))).await),
+        Err(fault) => drop(writer.send(&message::Response::new(Err(fault))).await),
     }
 }
 
-fn check(
+fn verify_call(
     params: &Params<'static>,
     registry: &Registry,
     extensions: &jsonrpsee::Extensions,
-) -> Option<(Arc<Connection>, session::Envelope, Authentic)> {
+) -> Option<(Arc<Connection>, session::Envelope, Caller)> {
     let envelope: session::Envelope = params.one().ok()?;
-    let connection = accept::find(registry, extensions).ok()?;
-    let authentic = connection.check(&envelope);
-    if authentic.is_none() {
-        connection.end();
+    let connection = accept::find_connection(registry, extensions).ok()?;
+    let caller = connection.verify_call(&envelope);
+    if caller.is_none() {
+        connection.close();
     }
-    Some((connection, envelope, authentic?))
+    Some((connection, envelope, caller?))
 }
 
-async fn open(
+async fn open_frames(
     registry: &Registry,
-    authentic: &Authentic,
+    caller: &Caller,
     envelope: &session::Envelope,
 ) -> Result<Frames, Fault> {
-    let wrong = |cause: serde_json::Error| Fault::new(message::WRONG_PARAMS, cause.to_string());
-    let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(wrong)?;
+    let invalid = |cause: serde_json::Error| Fault::new(message::INVALID_PARAMS, cause.to_string());
+    let call: message::Call = serde_json::from_str(envelope.body.get()).map_err(invalid)?;
     let stream = registry.stream(&call.method);
-    let stream = stream.filter(|stream| stream.role == authentic.role);
+    let stream = stream.filter(|stream| stream.role == caller.role);
     let unknown = || Fault::new(message::UNKNOWN_METHOD, "no such stream for this role");
     (stream.ok_or_else(unknown)?.open)(call.params).await
 }
 
 async fn forward(writer: &mut Writer, connection: &Connection, mut frames: Frames) {
     if !writer
-        .send(&message::Answer::new(Ok(message::raw(&()))))
+        .send(&message::Response::new(Ok(message::to_raw_json(&()))))
         .await
     {
         return;
@@ -87,25 +87,28 @@
         let frame = tokio::select! {
             frame = frames.next() => frame,
             () = writer.sink.closed() => return,
-            () = connection.ended() => return,
+            () = connection.closed() => return,
         };
-        let answer = match frame {
-            Some(frame) => message::Answer::new(Ok(frame)),
-            None => message::Answer::end(),
+        let response = match frame {
+            Some(frame) => message::Response::new(Ok(frame)),
+            None => message::Response::end(),
         };
-        if !writer.send(&answer).await || answer.end {
+        if !writer.send(&response).await || response.end {
             return;
         }
     }
 }
 
 impl Writer {
-    async fn send(&mut self, answer: &message::Answer) -> bool {
+    async fn send(&mut self, response: &message::Response) -> bool {
         let purpose = session::Purpose::Frame;
-        let body = message::raw(answer);
-        let keys = &self.authentic.keys;
+        let body = message::to_raw_json(response);
+        let keys = &self.caller.keys;
         let envelope = keys.seal(purpose, self.counter, self.sequence, body);
         self.sequence += 1;
-        self.sink.send(message::raw(&envelope)).await.is_ok()
+        self.sink
+            .send(message::to_raw_json(&envelope))
+            .await
+            .is_ok()
     }
 }
