--- a/crates/cranberrygap-bench/src/measure/policy/score.rs
+++ b/crates/cranberrygap-bench/src/measure/policy/score.rs
@@ -41,7 +41,7 @@
     pub unreachable: u64,
     /// Requests that an endpoint refused and that went elsewhere.
     pub bounced: u64,
-    /// The same counts over all workspaces for each [`PERIOD`] of arrivals.
+    /// The same counts over all workspaces for each `PERIOD` of arrivals.
     pub timeline: Vec<Workspace>,
 }
 
